--- a/packages/gateway/src/capacity_duty.test.ts
+++ b/packages/gateway/src/capacity_duty.test.ts
@@ -18,7 +18,7 @@
 const DATA_CENTRES = ['a', 'b', 'c'].map(id => brandAs<DataCentreId>(id));
 const BATCH_SIZE = 32;
 
-/** A world with one scaled service, whose time a test moves. */
+/** A capacity duty for one scaled service, with a clock that tests advance. */
 class TestDuty {
   readonly platform = new MemoryPlatform();
   readonly state = new RoutingState({ratio: 0.2, windowMs: 10_000, slack: 50});
@@ -64,7 +64,7 @@
     });
   }
 
-  /** So many endpoints of a kind run in a data centre. */
+  /** Lists endpoints of a kind in a data centre. */
   list(dataCentre: DataCentreId, isCheap: boolean, count: number): void {
     for (let index = 0; index < count; index++) {
       const kind = isCheap ? 'cheap' : 'regular';
@@ -82,12 +82,14 @@
     }
   }
 
-  /** All cheap endpoints of a data centre are taken away. */
+  /** Removes all cheap endpoints of a data centre. */
   remove(dataCentre: DataCentreId): void {
     this.removeSome(dataCentre, true, 0);
   }
 
-  /** Endpoints of a kind in a data centre are taken away but for some. */
+  /**
+   * Removes endpoints of a kind in a data centre, except for the first `kept`.
+   */
   removeSome(dataCentre: DataCentreId, isCheap: boolean, kept: number): void {
     const gone = this.state.directory
       .readAll()
@@ -99,7 +101,7 @@
     this.state.directory.apply(changes, this.nowMs);
   }
 
-  /** Each endpoint tells that it is half full. */
+  /** Each endpoint reports that it is half full. */
   loadAll(): void {
     for (const {id} of this.state.directory.readAll()) {
       const load = {running: 16, waiting: 0, capacity: BATCH_SIZE};
@@ -107,7 +109,7 @@
     }
   }
 
-  /** What is ordered now, as `<data centre> <kind> <count>`. */
+  /** Runs a tick; returns its orders as `<data centre> <kind> <count>`. */
   async tick(): Promise<readonly string[]> {
     this.platform.orders.length = 0;
     await this.duty.tick();
@@ -121,10 +123,10 @@
 async function startDuty(): Promise<TestDuty> {
   const world = new TestDuty();
   for (const dataCentre of DATA_CENTRES) world.list(dataCentre, false, 4);
-  // The first tick writes down what operators began with, the second reads it.
+  // The first tick stores the initial number of endpoints, the second reads it.
   await world.tick();
   await world.tick();
-  // What was ordered is there, and what was given back is gone.
+  // Carries out the orders: what was ordered is listed, the rest is removed.
   for (const dataCentre of DATA_CENTRES) {
     world.list(dataCentre, true, 7);
     world.removeSome(dataCentre, false, 1);
@@ -133,10 +135,11 @@
   return world;
 }
 
-test('what is refused in one data centre is ordered elsewhere at once', async t => {
-  // All cheap endpoints of a data centre are reclaimed under load, and no more are
-  // to be had there. Seen: the same was asked for again every three seconds while
-  // callers waited; endpoints that are ordered at once serve four seconds later.
+test('endpoints refused in one data centre are ordered elsewhere at once', async t => {
+  // Guards against repeating a refused order every three seconds while callers
+  // wait, after all cheap endpoints of a data centre were reclaimed under load
+  // and none are available there. Endpoints ordered at once serve four seconds
+  // later.
   const world = await startDuty();
   t.deepEqual(await world.tick(), []);
   world.remove(DATA_CENTRES[2]);
@@ -146,12 +149,12 @@
   t.true(orders.includes('c regular 7'), orders.join(', '));
 });
 
-test('a calm reclaim costs nothing but the question', async t => {
+test('a reclaim without load leads to no orders but the refused one', async t => {
   const world = await startDuty();
   world.remove(DATA_CENTRES[2]);
   world.platform.refusals.push({kind: 'refused', reason: 'none available'});
   t.deepEqual(await world.tick(), []);
-  // Asked again after a while; then they can be had.
+  // The order is repeated after a pause and accepted.
   world.nowMs += 3000;
   t.deepEqual(await world.tick(), ['c cheap 7']);
 });
--- a/packages/gateway/src/capacity_duty.ts
+++ b/packages/gateway/src/capacity_duty.ts
@@ -1,4 +1,4 @@
-/** Orders endpoints by the plan, in the name of the lease. */
+/** Orders endpoints according to the capacity plan while the lease is held. */
 
 import {findRow} from '@snipestage/agreement/table_effects.js';
 import type {Logger} from '@snipestage/log/logger.js';
@@ -23,7 +23,7 @@
 import type {DutyTerm} from './duty_term.js';
 import type {RoutingState} from './routing_state.js';
 
-/** What a {@link CapacityDuty} is made from. */
+/** Options of {@link CapacityDuty}. */
 export interface CapacityDutyOptions {
   readonly platform: Platform;
   readonly term: DutyTerm;
@@ -32,22 +32,33 @@
   readonly logger: Logger;
 }
 
-/** A reclaim leaves some two seconds; what is planned costs no call. */
+/**
+ * A reclaim leaves about two seconds to react; planning costs no platform call.
+ */
 const TICK_MS = 500;
 /**
- * The list of endpoints has to be unchanged for so long before what is there is
- * taken for all that operators began with: endpoints write their rows one after
- * the other, each within a heartbeat.
+ * The list of endpoints has to be unchanged for this long before the endpoints
+ * listed count as the number that operators started with: endpoints write their
+ * rows one after the other, each within a heartbeat.
  */
 const SETTLED_AFTER_MS = 2500;
-/** How long after a refusal the same is asked for again: each call is priced. */
-const REFUSED_FOR_MS = 2500;
-/** After the last refusal endpoints may still have to be ordered and listed. */
-const SCARCE_BEYOND_BOOT_MS = REFUSED_FOR_MS + 1000;
-/** An order that isn't met so long after the boot time is given again. */
+/**
+ * After a refusal, endpoints of the same kind are ordered there again only
+ * after this time: each call is priced.
+ */
+const REFUSAL_RETRY_MS = 2500;
+/**
+ * After a refusal, cheap endpoints count as scarce for the boot time and this
+ * long: endpoints may still have to be ordered and listed after the last
+ * refusal.
+ */
+const SCARCE_AFTER_BOOT_MS = REFUSAL_RETRY_MS + 1000;
+/** An order that isn't fulfilled this long after the boot time is repeated. */
 const REPEAT_AFTER_BOOT_MS = 3000;
 
-/** Value of the row that keeps what a service began with. */
+/**
+ * Value of the row with the number of endpoints that a service started with.
+ */
 interface NeededValue {
   readonly endpoints: number;
 }
@@ -58,7 +69,10 @@
   readonly token: number;
 }
 
-/** Owns what was ordered; a new holder orders everything anew. */
+/**
+ * Records what was ordered and under which fencing token; a new holder of the
+ * lease orders everything again.
+ */
 export class CapacityDuty {
   private timer: NodeJS.Timeout | undefined;
   private isBusy = false;
@@ -85,7 +99,7 @@
       for (const service of this.scaledServices()) {
         await this.learnNeeded(service.id);
         const isRefused = await this.orderAll(service);
-        // What was refused is ordered elsewhere at once: callers wait meanwhile.
+        // Orders what was refused elsewhere at once, since callers are waiting.
         if (isRefused) await this.orderAll(service);
       }
     } finally {
@@ -159,13 +173,15 @@
     );
   }
 
-  /** Where cheap ones were refused a moment ago, those that are still there. */
+  /**
+   * Cheap endpoints present, for data centres that recently refused cheap ones.
+   */
   private countCheapLeft(
     {id: service, scaling}: Service,
     dataCentres: readonly DataCentreId[],
   ): ReadonlyMap<DataCentreId, number> {
     const {state, nowMs} = this.options;
-    const scarceForMs = (scaling?.bootMs ?? 0) + SCARCE_BEYOND_BOOT_MS;
+    const scarceForMs = (scaling?.bootMs ?? 0) + SCARCE_AFTER_BOOT_MS;
     const left = new Map<DataCentreId, number>();
     for (const dataCentre of dataCentres) {
       const place = {service, dataCentre, isCheap: true};
@@ -177,9 +193,9 @@
   }
 
   /**
-   * What the operators began with is what they held to be needed. The first
-   * holder writes it down, or the next would take what is left of its orders
-   * for the beginning.
+   * Learns how many endpoints a service needs, which is the number that
+   * operators started with. The first holder stores it; otherwise the next one
+   * would take what is left of earlier orders for that number.
    */
   private async learnNeeded(service: ServiceId): Promise<void> {
     if (this.needed.has(service)) return;
@@ -198,7 +214,8 @@
       .readAll()
       .filter(each => each.service === service && !each.isLeaving).length;
     if (endpoints === 0) return;
-    // Lost against another holder or an outage: the next tick reads it.
+    // If another holder's write came first or this one failed, the next tick
+    // reads the row.
     await platform.transact({
       checks: [{key, version: 0}],
       writes: [{key, value: {endpoints}}],
@@ -207,7 +224,7 @@
 
   private readonly seenDataCentres = new Set<DataCentreId>();
 
-  /** Data centres once seen stay: all endpoints of one may be away. */
+  /** Keeps data centres once seen, as all endpoints of one may be gone. */
   private dataCentresOf(
     endpoints: ReadonlyArray<{readonly dataCentre: DataCentreId}>,
   ): readonly DataCentreId[] {
@@ -254,13 +271,13 @@
     const {state, nowMs} = this.options;
     const ordered = this.ordered.get(keyOf(target));
     const refusedAtMs = this.refusedAtMs.get(keyOf(target)) ?? -Infinity;
-    if (nowMs() - refusedAtMs < REFUSED_FOR_MS) return false;
+    if (nowMs() - refusedAtMs < REFUSAL_RETRY_MS) return false;
     if (ordered === undefined || ordered.token !== token) return true;
     if (ordered.count !== target.count) return true;
     const bootMs = state.table?.findService(target.service)?.scaling?.bootMs;
-    const patienceMs = (bootMs ?? 0) + REPEAT_AFTER_BOOT_MS;
+    const repeatAfterMs = (bootMs ?? 0) + REPEAT_AFTER_BOOT_MS;
     const present = countPresent(state.directory.readAll(), target);
-    return present < target.count && nowMs() - ordered.atMs > patienceMs;
+    return present < target.count && nowMs() - ordered.atMs > repeatAfterMs;
   }
 }
 
--- a/packages/gateway/src/clock_keeper.ts
+++ b/packages/gateway/src/clock_tie_task.ts
@@ -13,11 +13,11 @@
 }
 
 /**
- * The first instance that finds no row proposes its own time of day; all others
- * take what the row says. It is written once and never changed, for a change
- * would move requests between windows that are counted already.
+ * The first instance that finds no row writes its own time of day; all others
+ * use the value in the row. The row is written once and never changed, since a
+ * change would move requests between windows that have already been counted.
  */
-export class ClockKeeper {
+export class ClockTieTask {
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -47,7 +47,8 @@
     }
     const tieMs = this.clock.proposeTie();
     if (tieMs === undefined) return;
-    // Lost against another instance or to an outage: the next try reads it.
+    // If another instance's write came first or this one failed, the next try
+    // reads the row.
     await this.platform.transact({
       checks: [{key: TIE_KEY, version: 0}],
       writes: [{key: TIE_KEY, value: {tieMs}}],
--- a/packages/gateway/src/duties.ts
+++ b/packages/gateway/src/duties.ts
@@ -1,4 +1,6 @@
-/** What one instance does for all: it reports usage and orders endpoints. */
+/**
+ * Duties of one instance on behalf of all: reporting usage, ordering endpoints.
+ */
 
 import {LeaseTask} from '@snipestage/entry/agree/lease_task.js';
 import {TableExecutor} from '@snipestage/entry/configure/table_executor.js';
@@ -15,7 +17,7 @@
   type LeaseName,
 } from '@snipestage/types/ids.js';
 import {CapacityDuty} from './capacity_duty.js';
-import {ClockKeeper} from './clock_keeper.js';
+import {ClockTieTask} from './clock_tie_task.js';
 import {DutyTerm} from './duty_term.js';
 import type {GatewaySettings} from './gateway_settings.js';
 import type {Relays} from './relay/relays.js';
@@ -25,7 +27,7 @@
 import {UsageReporter} from './usage_reporter.js';
 import {UsageWriter} from './usage_writer.js';
 
-/** What {@link Duties} are made from. */
+/** Options of {@link Duties}. */
 export interface DutiesOptions {
   readonly settings: GatewaySettings;
   readonly incarnation: string;
@@ -33,33 +35,40 @@
   readonly state: RoutingState;
   readonly clock: AgreedClock;
   readonly facts: SharedFacts;
-  readonly recovery: Pick<StoreRecovery, 'isAway'>;
+  readonly recovery: Pick<StoreRecovery, 'isUnavailable'>;
   readonly relays: Pick<Relays, 'write' | 'hasBatchedWrites'>;
   readonly logger: Logger;
   readonly nowMs: () => number;
-  /** Only a ready instance stands for the lease. */
+  /** Only a ready instance competes for the lease. */
   readonly isReady: () => boolean;
 }
 
 const DUTIES_LEASE = brandAs<LeaseName>('duties');
-/** Share of the lease's term by which a holder stops before its end. */
+/**
+ * A holder stops acting this share of the lease's term before the term ends.
+ */
 const LEASE_MARGIN_SHARE = 0.15;
-/** Renewals in a term: two may be lost. */
+/**
+ * Renewals in a term: two may be lost, as a failed one is due again at once.
+ */
 const RENEWALS_PER_TERM = 2.5;
 /**
- * Each poll is a priced call. It has to come before a lease that was seen last
- * seems to have lapsed, or each challenger writes in vain once a term.
+ * Interval of a challenger's polls, in terms of the lease. Each poll is a
+ * priced call. It has to come before the lease that was last seen appears to
+ * have lapsed; otherwise each challenger makes a futile write once per term.
  */
-const POLL_TERMS = 1;
-/** Share of a window after which its counts so far are written. */
+const POLL_INTERVAL_TERMS = 1;
+/** Interval of writes of partial counts, as a share of a window. */
 const USAGE_WRITE_SHARE = 0.5;
-/** The same where a relay writes in batches. */
+/** The same interval while a relay writes the counts in batches. */
 const RELAYED_WRITE_SHARE = 0.3;
 
-/** Owns the lease and the tasks that are done in its name. */
+/**
+ * Owns the lease, the tasks that run under it and the writer of usage counts.
+ */
 export class Duties {
   private readonly windows: UsageWindows;
-  private readonly keeper: ClockKeeper;
+  private readonly clockTieTask: ClockTieTask;
   private readonly lease: LeaseTask;
   private readonly term: DutyTerm;
   private readonly writer: UsageWriter;
@@ -73,11 +82,11 @@
     const logger = options.logger.forComponent('usage');
     this.startedAtMs = nowMs();
     this.windows = new UsageWindows(windowMs);
-    this.keeper = new ClockKeeper(platform, clock, logger);
+    this.clockTieTask = new ClockTieTask(platform, clock, logger);
     this.lease = this.createLease();
     this.term = new DutyTerm({
       lease: this.lease,
-      apartMs: settings.lease.termMs,
+      separationMs: settings.lease.termMs,
       nowMs,
       nowEpochMs: Date.now,
     });
@@ -91,7 +100,7 @@
       nowMs,
       logger,
       writeBatched: (key, value) => options.relays.write(key, value),
-      isStoreAway: () => options.recovery.isAway,
+      isStoreUnavailable: () => options.recovery.isUnavailable,
       hasBatchedWrites: () => options.relays.hasBatchedWrites,
       readDemands: () => state.readDemands(nowMs()),
     });
@@ -105,7 +114,7 @@
       dueAfterMs,
       nowMs,
       logger,
-      onRows: rows => void facts.publishSeen(rows),
+      onRows: rows => void facts.publishTotals(rows),
     });
     this.capacity = new CapacityDuty({
       platform,
@@ -116,12 +125,12 @@
     });
   }
 
-  /** Under which duties are carried out now. */
+  /** Fencing token under which duties are carried out now, if they are. */
   get token(): FencingToken | undefined {
     return this.term.token;
   }
 
-  /** A request of an account began to run. */
+  /** Counts a request of an account that began to run. */
   countUsage(account: ClientAccountId, atMs: number): void {
     this.windows.count(account, this.options.clock.epochAt(atMs));
   }
@@ -129,7 +138,7 @@
   start(): void {
     const {reportsUsage, ordersEndpoints} = this.options.settings.duties;
     if (reportsUsage) {
-      this.keeper.start();
+      this.clockTieTask.start();
       this.writer.start();
       this.reporter.start();
     }
@@ -137,9 +146,9 @@
     if (reportsUsage || ordersEndpoints) this.lease.start();
   }
 
-  /** Hands over to a successor; what is counted from now on is still written. */
+  /** Retires from the lease for a successor; usage counts are still written. */
   handOver(): void {
-    this.keeper.stop();
+    this.clockTieTask.stop();
     this.reporter.stop();
     this.capacity.stop();
     void this.lease.retire();
@@ -168,16 +177,16 @@
         termMs,
         marginMs: termMs * LEASE_MARGIN_SHARE,
         renewEveryMs: termMs / RENEWALS_PER_TERM,
-        pollEveryMs: termMs * POLL_TERMS,
+        pollEveryMs: termMs * POLL_INTERVAL_TERMS,
       },
       executor: new TableExecutor({platform, clock: nowMs}),
       clock: nowMs,
       logger: logger.forComponent('lease'),
-      isCandidate: () => this.options.isReady() && this.standsForLease(),
+      isCandidate: () => this.options.isReady() && this.isLeaseCandidate(),
     });
   }
 
-  private standsForLease(): boolean {
+  private isLeaseCandidate(): boolean {
     const {settings, state, nowMs} = this.options;
     return standsForLease({
       instance: settings.instance,
@@ -188,9 +197,9 @@
   }
 
   /**
-   * Interval of partial counts, which limits what a killed instance loses. With
-   * many instances each holds less than the tolerance, so that partial counts
-   * are only worth a batched write.
+   * Interval of writes of partial counts, which limits what a killed instance
+   * loses. With many instances each one's counts are below the tolerance, so
+   * that partial counts are only worth a batched write.
    */
   private get usageWriteEveryMs(): number {
     const {windowMs, tolerance} = this.options.settings.usage;
--- a/packages/gateway/src/duty_term.test.ts
+++ b/packages/gateway/src/duty_term.test.ts
@@ -3,7 +3,7 @@
 import {brandAs, type FencingToken} from '@snipestage/types/ids.js';
 import {DutyTerm} from './duty_term.js';
 
-/** A lease that a test gives and takes. */
+/** A lease whose state a test sets. */
 class ScriptedLease {
   held: HeldLease | undefined;
 
@@ -28,7 +28,7 @@
   const time = {nowMs: 0, epochMs: 0};
   const term = new DutyTerm({
     lease,
-    apartMs: 3000,
+    separationMs: 3000,
     nowMs: () => time.nowMs,
     nowEpochMs: () => time.epochMs,
   });
@@ -39,10 +39,10 @@
   return {lease, time, term, pass};
 }
 
-test('duties that are handed back at once wait at whoever acted before', t => {
+test('a holder that gets the duties back at once waits after its own last act', t => {
   // An instance is stopped and hands its duties over; moments later its
-  // successor is stopped and hands them back. To the provider the two would
-  // seem to give orders at the same time.
+  // successor is stopped and hands them back. Without the wait the provider
+  // would see orders of both at the same time.
   const {lease, term, pass} = makeTerm();
   pass(10_000);
   lease.acquire(1, 10_000);
@@ -56,10 +56,10 @@
   t.is(term.token, brandAs<FencingToken>(3));
 });
 
-test('whoever follows on a release and has not acted itself acts at once', t => {
-  // All instances are stopped one after the other, two seconds each, and the
-  // duties go with the holders. If each successor waited for a term first, it
-  // would be stopped before it has acted, and so would the next.
+test('a holder after a release that has not acted itself acts at once', t => {
+  // All instances are stopped one after the other, two seconds each, and each
+  // holder hands the duties over. If each successor waited for a term first, it
+  // would be stopped before it had acted, and so would the next.
   const {lease, term, pass} = makeTerm();
   pass(3000);
   lease.acquire(2, 3000, true);
@@ -69,9 +69,9 @@
   t.true(term.guard().mayStillSend());
 });
 
-test('a process that has just started does not know what the one before did', t => {
-  // A holder is stopped, started again and gets the duties back from the one that
-  // held them in between.
+test('a process that has just started waits, as its predecessor may have acted', t => {
+  // A holder is stopped, started again and gets the duties back from the
+  // instance that held them in between.
   const {lease, term, pass} = makeTerm();
   pass(1000);
   lease.acquire(3, 1000, true);
@@ -80,7 +80,7 @@
   t.is(term.token, brandAs<FencingToken>(3));
 });
 
-test('acts under the token in force do not hold each other up', t => {
+test('acts under the token in force do not delay each other', t => {
   const {lease, term, pass} = makeTerm();
   pass(10_000);
   lease.acquire(1, 10_000);
@@ -92,9 +92,10 @@
   t.true(term.guard().mayStillSend());
 });
 
-test('whoever follows on a lapse acts at once', t => {
-  // The store was away for longer than a term, or the holder was killed. Nobody
-  // has acted for a while, and reports that wait longer now come too late.
+test('a holder after a lapse acts at once', t => {
+  // The store was unavailable for longer than a term, or the holder was killed.
+  // Nobody has acted for a while, and reports would be late if they waited
+  // longer.
   const {lease, term} = makeTerm();
   lease.acquire(1, 0);
   lease.acquire(2, 0);
@@ -102,8 +103,8 @@
 });
 
 test('after a suspension nothing is sent before a renewal', t => {
-  // A machine is suspended for four seconds. Its steady clock stood still, so
-  // its lease seems in force; another instance has taken over long since.
+  // A machine is suspended for four seconds. Its monotonic clock stood still,
+  // so its lease seems in force, although another instance has taken over.
   const {lease, time, term, pass} = makeTerm();
   lease.acquire(1, 0);
   pass(100);
@@ -118,7 +119,7 @@
   t.is(term.token, brandAs<FencingToken>(1));
 });
 
-test('a guard holds for the token it was made under only', t => {
+test('a guard is valid only for the token under which it was created', t => {
   const {lease, term, pass} = makeTerm();
   lease.acquire(1, 0);
   const guard = term.guard();
--- a/packages/gateway/src/duty_term.ts
+++ b/packages/gateway/src/duty_term.ts
@@ -1,48 +1,56 @@
-/** When something may be done in the name of a lease. */
+/** Decides when an instance may act under a lease. */
 
 import type {LeaseTask} from '@snipestage/entry/agree/lease_task.js';
 import type {SendGuard} from '@snipestage/platform/platform.js';
 import {SuspensionWatch} from '@snipestage/routing/suspension_watch.js';
 import type {FencingToken} from '@snipestage/types/ids.js';
 
-/** What a {@link DutyTerm} is made from. */
+/** Options of {@link DutyTerm}. */
 export interface DutyTermOptions {
   readonly lease: Pick<LeaseTask, 'held' | 'guard'>;
-  /** Holders that act by turns have to be so far apart. */
-  readonly apartMs: number;
+  /**
+   * Minimum time between acts of this process under two tokens, when the later
+   * lease follows a release.
+   */
+  readonly separationMs: number;
   readonly nowMs: () => number;
   readonly nowEpochMs: () => number;
 }
 
 /**
- * Guards what a lease alone does not.
+ * Guards against two cases that the lease itself does not cover.
  *
- * A holder that was suspended believes in a term that is over, since its steady
- * clock stood still; after a jump of the clocks nothing is sent until a renewal
- * that began later has been granted. And where leases are released and taken
- * again at once, one instance could act, another one and the first again within
- * moments, which an outsider can't tell from two that are both in charge. So
- * whoever follows on a release waits until its own last act under another token
- * is long enough ago; a process that is new does not know what the one before it
- * did. After a lapse nobody has acted for a margin at least.
+ * A holder that was suspended takes its term for current although it has ended,
+ * since its monotonic clock stood still. After the clocks have jumped apart,
+ * nothing is sent until a renewal that began later has been granted.
+ *
+ * Where leases are released and acquired again at once, one instance could act,
+ * then another and then the first again within moments, which outside parties
+ * can't distinguish from two concurrent holders. So a holder whose lease
+ * follows a release waits until its own last act under another token is at
+ * least `separationMs` ago. A new process doesn't know what its predecessor
+ * did, so it waits that long after its start. After a lapse there is no wait:
+ * nobody has acted for at least the lease's margin.
  */
 export class DutyTerm {
   private readonly watch: SuspensionWatch;
   private jumpedAtMs = Number.NEGATIVE_INFINITY;
-  /** Of this process, and the token under which it was. */
+  /** Time and token of this process's last act. */
   private lastAct: {readonly token: FencingToken; atMs: number} | undefined;
-  /** Of this process, under a token before that of its last act. */
-  private formerActAtMs: number;
+  /**
+   * Time of this process's last act under an earlier token; at first its start.
+   */
+  private previousActAtMs: number;
 
   constructor(private readonly options: DutyTermOptions) {
     const {nowMs, nowEpochMs} = options;
     this.watch = new SuspensionWatch(nowMs(), nowEpochMs());
-    this.formerActAtMs = nowMs();
+    this.previousActAtMs = nowMs();
   }
 
-  /** The token to act under now, if one may. */
+  /** Token to act under now; undefined when this instance must not act. */
   get token(): FencingToken | undefined {
-    const {lease, nowMs, nowEpochMs, apartMs} = this.options;
+    const {lease, nowMs, nowEpochMs, separationMs} = this.options;
     const atMs = nowMs();
     if (this.watch.hasJumped(atMs, nowEpochMs())) this.jumpedAtMs = atMs;
     const {held} = lease;
@@ -50,11 +58,11 @@
       return undefined;
     }
     const sinceOwnMs = atMs - this.lastActBefore(held.fencingToken);
-    const isSettled = !held.followsRelease || sinceOwnMs >= apartMs;
+    const isSettled = !held.followsRelease || sinceOwnMs >= separationMs;
     return isSettled ? held.fencingToken : undefined;
   }
 
-  /** For one send under the token that is in force now. */
+  /** Creates a guard for one send under the token in force now. */
   guard(): SendGuard {
     const guard = this.options.lease.guard();
     const {token} = this;
@@ -72,12 +80,12 @@
   private lastActBefore(token: FencingToken): number {
     const {lastAct} = this;
     const wasUnderOther = lastAct !== undefined && lastAct.token !== token;
-    return wasUnderOther ? lastAct.atMs : this.formerActAtMs;
+    return wasUnderOther ? lastAct.atMs : this.previousActAtMs;
   }
 
   private noteAct(token: FencingToken): void {
     const atMs = this.options.nowMs();
-    this.formerActAtMs = this.lastActBefore(token);
+    this.previousActAtMs = this.lastActBefore(token);
     this.lastAct = {token, atMs};
   }
 }
--- a/packages/gateway/src/operator_rows.ts
+++ b/packages/gateway/src/operator_rows.ts
@@ -1,4 +1,4 @@
-/** Puts into force what operators write. */
+/** Applies the rows that operators write. */
 
 import type {Logger} from '@snipestage/log/logger.js';
 import type {RoutingConfiguration} from '@snipestage/routing/route.js';
@@ -8,7 +8,7 @@
 import type {RowDecoder} from './row_decoder.js';
 import type {FollowedRow} from './table_follower.js';
 
-/** What an {@link OperatorRows} is made from. */
+/** Options of {@link OperatorRows}. */
 export interface OperatorRowsOptions {
   readonly decoder: RowDecoder;
   readonly state: RoutingState;
@@ -22,18 +22,20 @@
 export class OperatorRows {
   constructor(private readonly options: OperatorRowsOptions) {}
 
-  /** The whole table: what it lacks is not evacuated. */
+  /** Applies the whole table; data centres without a row are not evacuated. */
   replace(rows: readonly FollowedRow[]): void {
     this.apply(rows, new Set());
   }
 
-  /** Rows that changed. */
+  /** Applies changed rows. */
   change(rows: readonly FollowedRow[]): void {
     const {directory} = this.options.state;
     this.apply(rows, new Set(directory.listEvacuated()));
   }
 
-  /** @param evacuated the data centres that were evacuated before these rows. */
+  /**
+   * @param evacuated the data centres that were evacuated before these rows.
+   */
   private apply(
     rows: readonly FollowedRow[],
     evacuated: Set<DataCentreId>,
@@ -60,7 +62,9 @@
     this.applyEvacuations(evacuated);
   }
 
-  /** A version only rises; an older one is a read that came late. */
+  /**
+   * Ignores a version that isn't newer: it comes from a read that arrived late.
+   */
   private applyConfiguration(
     configuration: RoutingConfiguration,
     rowVersion: number,
--- a/packages/gateway/src/relay/load_exchange.test.ts
+++ b/packages/gateway/src/relay/load_exchange.test.ts
@@ -31,8 +31,9 @@
   view.noteOwn({endpoint: ENGINE, load, atMs});
 }
 
-test('a load reported to one instance reaches one of another data centre', t => {
-  // Guards against instances that know an engine's load by their own answers only.
+test('a load reported to one instance reaches an instance in another data centre', t => {
+  // Guards against instances that know an engine's load only from answers to
+  // their own requests.
   const follower = makeExchange();
   const relay = makeExchange();
   const remoteRelay = makeExchange();
@@ -47,7 +48,7 @@
   remote.exchange.receive(reports.toFollowers, 'remote');
   t.is(remote.monitor.loadAgeMs(ENGINE, 1000), 100);
   t.true(remote.monitor.estimateLoad(ENGINE, 1000) > 15);
-  t.is(reports.toRelays.lines.length, 0, 'and does not come back');
+  t.is(reports.toRelays.lines.length, 0, 'and is not sent back');
 });
 
 test('no reading is published twice', t => {
@@ -57,8 +58,8 @@
   t.is(exchange.collectForRelay(), undefined);
 });
 
-test('malformed reports are counted, and logged now and then', async t => {
-  // Guards against a flood of log lines by one broken process.
+test('malformed reports are counted, and logged at a limited rate', async t => {
+  // Guards against a flood of log lines caused by one faulty process.
   const {clock, exchange, metrics, monitor, output} = makeExchange();
   const broken = {kind: 'loads', lines: ['x']} as unknown as LoadReport;
   for (let count = 0; count < 50; count += 1) exchange.receive(broken, 'local');
@@ -71,8 +72,9 @@
   t.false(monitor.hasRecentReports(clock.nowMs));
 });
 
-test('a rate limit learnt by one instance holds at the others until it ends', t => {
-  // Guards against an overloaded endpoint that has to announce its limit to each instance.
+test('a rate limit learnt by one instance applies at others until it ends', t => {
+  // Guards against an overloaded endpoint that has to announce its limit to
+  // each instance.
   const [source, other] = [makeExchange(), makeExchange()];
   const load = {running: 1, waiting: 0, capacity: 24};
   const send = () =>
--- a/packages/gateway/src/relay/load_exchange.ts
+++ b/packages/gateway/src/relay/load_exchange.ts
@@ -9,7 +9,7 @@
 import type {GatewayMetrics} from '../gateway_metrics.js';
 import {readLoadReport, toLoadReport, type LoadReport} from './load_report.js';
 
-/** What a {@link LoadExchange} is made from. */
+/** Options of {@link LoadExchange}. */
 export interface LoadExchangeOptions {
   readonly view: LoadView;
   readonly metrics: Pick<GatewayMetrics, 'countLoads'>;
@@ -17,7 +17,7 @@
   readonly nowMs: () => number;
 }
 
-/** Malformed reports are logged at most so often. */
+/** Minimum interval between log lines about malformed reports. */
 const LOG_EVERY_MS = 10_000;
 
 /**
@@ -42,7 +42,9 @@
     return readings.length === 0 ? undefined : toLoadReport(readings, atMs);
   }
 
-  /** All new readings for followers, those of this data centre for other relays. */
+  /**
+   * All new readings for followers, those of this data centre for other relays.
+   */
   collectForOthers(): {toFollowers: LoadReport; toRelays: LoadReport} {
     const {view, nowMs} = this.options;
     const atMs = nowMs();
@@ -60,7 +62,9 @@
     };
   }
 
-  /** Takes in a report of another process. */
+  /**
+   * Validates a report of another process and adds its readings to the view.
+   */
   receive(report: LoadReport, origin: LoadOrigin): void {
     const {view, metrics, nowMs} = this.options;
     const atMs = nowMs();
--- a/packages/gateway/src/relay/load_report.test.ts
+++ b/packages/gateway/src/relay/load_report.test.ts
@@ -4,7 +4,7 @@
 
 const ENGINE = brandAs<EndpointId>('engine');
 
-test('a reading keeps its age on the way', t => {
+test('a reading keeps its age in transit', t => {
   const load = {running: 3, waiting: 1, capacity: 24};
   const report = toLoadReport([{endpoint: ENGINE, load, atMs: 700}], 1000);
   const {readings, malformed} = readLoadReport(
@@ -15,8 +15,8 @@
   t.is(malformed, 0);
 });
 
-test('what is no report is counted and read as nothing', t => {
-  // Guards against a process on the relay's port that sends anything.
+test('malformed lines and reports are counted and yield no readings', t => {
+  // Guards against a process that sends arbitrary data to the relay's port.
   const lines = [
     ['engine', -1, 0, 24, 5],
     ['engine', 1.5, 0, 24, 5],
--- a/packages/gateway/src/relay/load_report.ts
+++ b/packages/gateway/src/relay/load_report.ts
@@ -4,8 +4,8 @@
 import {brandAs, type EndpointId} from '@snipestage/types/ids.js';
 
 /**
- * Endpoint, running, waiting, capacity, the reading's age in ms, and the requests
- * a second that the endpoint takes, if it is limited.
+ * Endpoint, running, waiting, capacity, the reading's age in ms, and the
+ * requests per second that the endpoint accepts, if it has a rate limit.
  */
 export type LoadLine = readonly [
   string,
@@ -22,8 +22,8 @@
   readonly lines: readonly LoadLine[];
 }
 
-/** Longer reports are rejected. */
-const MOST_LINES = 1000;
+/** Lines in a report; longer reports are rejected. */
+const MAX_LINES = 1000;
 
 /**
  * @example
@@ -35,7 +35,7 @@
 ): LoadReport {
   const newest = readings
     .toSorted((one, other) => other.atMs - one.atMs)
-    .slice(0, MOST_LINES);
+    .slice(0, MAX_LINES);
   const lines = newest.map(
     ({endpoint, load, rateLimitPerS, atMs}): LoadLine => {
       const {running, waiting, capacity} = load;
@@ -51,7 +51,7 @@
 /** Result of {@link readLoadReport}. */
 export interface ReadLoads {
   readonly readings: readonly LoadReading[];
-  /** Number of lines that could not be read. */
+  /** Number of malformed lines; 1 for a report that is rejected as a whole. */
   readonly malformed: number;
 }
 
@@ -63,7 +63,7 @@
  */
 export function readLoadReport(message: unknown, nowMs: number): ReadLoads {
   const lines = (message as Partial<LoadReport> | undefined)?.lines;
-  if (!Array.isArray(lines) || lines.length > MOST_LINES) {
+  if (!Array.isArray(lines) || lines.length > MAX_LINES) {
     return {readings: [], malformed: 1};
   }
   const readings = lines.filter(isLoadLine).map(line => toReading(line, nowMs));
--- a/packages/gateway/src/relay/relay_client.ts
+++ b/packages/gateway/src/relay/relay_client.ts
@@ -25,16 +25,16 @@
 /** Why a stream ended. */
 export interface RelayEnd {
   readonly reason: string;
-  /** This side closed it. */
+  /** Whether this side closed the stream. */
   readonly isOwn: boolean;
 }
 
-/** What a {@link RelayClient} is made from. */
+/** Options of {@link RelayClient}. */
 export interface RelayClientOptions {
   /** `<IP number>:<port>` */
   readonly address: string;
   readonly request: FollowRequest | ExchangeRequest;
-  /** Changes that show the store as it was at this time, or later. */
+  /** Receives changes that reflect the store as of `asOfMs`, or later. */
   readonly onChanges: (
     table: RelayedTableName,
     changes: TableChanges,
@@ -45,7 +45,7 @@
   readonly nowMs: () => number;
   /** Called once. */
   readonly onEnd: (end: RelayEnd) => void;
-  /** Ends the stream when nothing has come for so long. */
+  /** Ends the stream when no message has arrived for this long. */
   readonly silentAfterMs: number;
   /** How long a write may take (1,000 ms). */
   readonly writeTimeoutMs?: number;
@@ -65,11 +65,11 @@
   ): void;
 }
 
-/** Gathering, a transaction and as much again. */
+/** Twice the time that the batching delay and a transaction take. */
 const DEFAULT_WRITE_TIMEOUT_MS = 1000;
 const RelayStub = makeGenericClientConstructor(RELAY_SERVICE, 'Relay');
 
-/** A new one for each stream. */
+/** Client of a single stream; each stream needs a new one. */
 export class RelayClient {
   private readonly client: FollowClient;
   private readonly stream: ClientDuplexStream<FollowerMessage, RelayMessage>;
@@ -98,7 +98,7 @@
     this.end('closed', true);
   }
 
-  /** @returns whether the store has the row, as far as is known. */
+  /** @returns whether the row is known to be in the store. */
   write(request: WriteRequest): Promise<boolean> {
     const {writeTimeoutMs = DEFAULT_WRITE_TIMEOUT_MS} = this.options;
     const deadline = Date.now() + writeTimeoutMs;
@@ -109,7 +109,9 @@
     });
   }
 
-  /** Drops the report when the stream is congested: it would arrive outdated. */
+  /**
+   * Drops the report when the stream is congested: it would arrive outdated.
+   */
   sendLoads(report: LoadReport): void {
     if (!this.stream.writableNeedDrain) this.stream.write(report);
   }
@@ -130,15 +132,15 @@
 
   private takeRows({ping, table, since, version, rows}: RelayUpdate): void {
     const changes = {since, version, rows: rows.map(fromRelayedRow)};
-    this.options.onChanges(table, changes, this.sentAt(ping));
+    this.options.onChanges(table, changes, this.pingSentAt(ping));
   }
 
   /**
-   * When a ping left. An update may have waited for seconds behind others; it
-   * shows the store as it was after the ping that it brings back, and nothing
-   * newer can be concluded from its arrival.
+   * Time at which a ping was sent; -Infinity when it isn't known. An update may
+   * have waited for seconds behind others. It reflects the store as it was
+   * after the ping whose number it carries; its arrival proves nothing newer.
    */
-  private sentAt(number: number): number {
+  private pingSentAt(number: number): number {
     while (this.pings.length > 0 && this.pings[0].number < number) {
       this.pings.shift();
     }
@@ -146,7 +148,9 @@
     return isKnown ? this.pings[0].atMs : Number.NEGATIVE_INFINITY;
   }
 
-  /** A stream may go silent for good without an error. */
+  /**
+   * Restarts the time-out of a stream, which may go silent without an error.
+   */
   private watchSilence(): void {
     clearTimeout(this.silence);
     const {silentAfterMs} = this.options;
--- a/packages/gateway/src/relay/relay_follower.ts
+++ b/packages/gateway/src/relay/relay_follower.ts
@@ -9,7 +9,7 @@
 import type {RelayedFeed} from './relayed_feed.js';
 import type {TableCopy} from './table_copy.js';
 
-/** What a {@link RelayFollower} is made from. */
+/** Options of {@link RelayFollower}. */
 export interface RelayFollowerOptions {
   readonly instance: InstanceId;
   readonly copies: Readonly<Record<RelayedTableName, TableCopy>>;
@@ -23,9 +23,9 @@
 }
 
 /**
- * A stream over which nothing has come for so long is given up. Until then the
- * store is asked instead; a relay that had no followers answers its own poll of
- * some seconds first.
+ * A stream on which no message has arrived for this long is given up. Until
+ * then the store is polled directly. A relay that had no followers first
+ * finishes its own poll, which lasts some seconds.
  */
 const SILENT_AFTER_MS = 10_000;
 
@@ -53,7 +53,7 @@
       nowMs,
       onChanges: (table, changes, asOfMs) => feeds[table].take(changes, asOfMs),
       onLoads,
-      onEnd: reason => this.lose(relay, reason),
+      onEnd: reason => this.handleEnd(relay, reason),
     });
     logger.info('relay_followed', {relay: relay.instance});
   }
@@ -87,7 +87,7 @@
     };
   }
 
-  private lose({instance}: RelayHolder, reason: RelayEnd): void {
+  private handleEnd({instance}: RelayHolder, reason: RelayEnd): void {
     const {logger, feeds, onFailed} = this.options;
     this.client = undefined;
     logger.warn('relay_lost', {relay: instance, ...reason});
--- a/packages/gateway/src/relay/relay_host.ts
+++ b/packages/gateway/src/relay/relay_host.ts
@@ -5,7 +5,7 @@
 import type {RelayServer, RelayServerOptions} from './relay_server.js';
 import type {RelayedTableName} from './relay_messages.js';
 
-/** What a {@link RelayHost} is made from. */
+/** Options of {@link RelayHost}. */
 export interface RelayHostOptions extends Omit<RelayServerOptions, 'address'> {
   /** `<IP number>:<port>`; undefined: this instance never relays. */
   readonly address: string | undefined;
@@ -33,7 +33,7 @@
     return {followers: server.followerCount, servingForMs};
   }
 
-  /** The store has just been asked about a table. */
+  /** Publishes a table's state to followers after the store was read. */
   confirm(name: RelayedTableName): void {
     this.server?.confirm(name);
   }
--- a/packages/gateway/src/relay/relay_messages.ts
+++ b/packages/gateway/src/relay/relay_messages.ts
@@ -23,14 +23,16 @@
   readonly known: Readonly<Record<RelayedTableName, number>>;
 }
 
-/** Comes back with the updates that were made after it had arrived. */
+/** Its number comes back with the updates that were made after its arrival. */
 export interface Ping {
   readonly kind: 'ping';
   /** Counts from 1. */
   readonly number: number;
 }
 
-/** Asks for the load readings of a relay's data centre; sent by other relays. */
+/**
+ * Asks for the load readings of a relay's data centre; sent by other relays.
+ */
 export interface ExchangeRequest {
   readonly kind: 'exchange';
   readonly instance: InstanceId;
@@ -39,10 +41,12 @@
 export type FollowerMessage =
   FollowRequest | ExchangeRequest | Ping | LoadReport;
 
-/** Changes of one table, or the word that there were none. */
+/** Changes of one table, or a confirmation that there were none. */
 export interface RelayUpdate {
   readonly kind: 'rows';
-  /** The last ping that had arrived before it was made; 0: none. */
+  /**
+   * Number of the last ping that arrived before the update was made; 0: none.
+   */
   readonly ping: number;
   readonly table: RelayedTableName;
   readonly since: number;
@@ -52,7 +56,7 @@
 
 export type RelayMessage = RelayUpdate | LoadReport;
 
-/** A row as it travels. */
+/** Wire format of a row. */
 export interface RelayedRow {
   readonly key: string;
   readonly version: number;
@@ -66,7 +70,7 @@
   readonly value: unknown;
 }
 
-/** Whether the store has the row. */
+/** Whether the row is known to be in the store. */
 export interface WriteAnswer {
   readonly isWritten: boolean;
 }
@@ -75,7 +79,7 @@
 export type WriteReply = sendUnaryData<WriteAnswer>;
 export type FollowCall = ServerDuplexStream<FollowerMessage, RelayMessage>;
 
-/** A service whose messages are JSON: its rows are such already. */
+/** A gRPC service whose messages are JSON, as the rows are JSON already. */
 export const RELAY_SERVICE: ServiceDefinition<{
   follow: MethodDefinition<FollowerMessage, RelayMessage>;
   write: MethodDefinition<WriteRequest, WriteAnswer>;
@@ -112,9 +116,9 @@
 }
 
 /**
- * Reads what a process on the relay's port sent.
+ * Validates a message that a process sent to the relay's port.
  *
- * @returns undefined when it is no message of a follower.
+ * @returns undefined when it isn't a follower's message.
  * @example
  * const message = readFollowerMessage(JSON.parse(text));
  */
@@ -135,7 +139,7 @@
     case 'ping':
       return Number.isInteger(number);
     default:
-      // The lines of a report are read one by one.
+      // The lines of a report are validated one by one, when it is read.
       return kind === 'loads';
   }
 }
@@ -145,7 +149,7 @@
   return RELAYED_TABLES.every(table => Number.isInteger(versions[table]));
 }
 
-/** The same report goes to dozens of followers. */
+/** Caches serialized reports: the same report goes to dozens of followers. */
 const serializedReports = new WeakMap<object, Buffer>();
 
 function serialize(message: object): Buffer {
--- a/packages/gateway/src/relay/relay_peers.ts
+++ b/packages/gateway/src/relay/relay_peers.ts
@@ -10,7 +10,7 @@
 import type {LoadReport} from './load_report.js';
 import type {RelayClient} from './relay_client.js';
 
-/** What {@link RelayPeers} are made from. */
+/** Options of {@link RelayPeers}. */
 export interface RelayPeersOptions extends RelayRosterOptions {
   readonly nowMs: () => number;
   /** Readings of another relay's data centre. */
@@ -19,17 +19,17 @@
 
 /** Reports arrive every 500 ms, even when empty. */
 const SILENT_AFTER_MS = 5000;
-/** Only keeps the stream busy. */
+/** These pings only keep the stream active. */
 const PING_EVERY_MS = 2000;
 
-/** Owns the streams; its own data centre may have a second relay. */
+/** Owns the streams; this relay's own data centre may have a second relay. */
 export class RelayPeers {
   private readonly rosters = new Map<DataCentreId, RelayRoster>();
   private readonly clients = new Map<DataCentreId, RelayClient>();
 
   constructor(private readonly options: RelayPeersOptions) {}
 
-  /** Takes in a slot of any data centre. */
+  /** Records a slot of any data centre. */
   learn(slot: RelaySlot): void {
     const {dataCentre, holder} = slot;
     const roster =
--- a/packages/gateway/src/relay/relay_server.ts
+++ b/packages/gateway/src/relay/relay_server.ts
@@ -18,25 +18,25 @@
 import {isCountsKey} from '../usage_rows.js';
 import type {LoadReport} from './load_report.js';
 import type {TableCopy} from './table_copy.js';
-import type {WriteGatherer} from './write_gatherer.js';
+import type {WriteBatcher} from './write_batcher.js';
 
-/** What a {@link RelayServer} is made from. */
+/** Options of {@link RelayServer}. */
 export interface RelayServerOptions {
   /** `<IP number>:<port>` */
   readonly address: string;
   readonly copies: Readonly<Record<RelayedTableName, TableCopy>>;
-  readonly writes: WriteGatherer;
-  /** A follower has sent readings. */
+  readonly writes: WriteBatcher;
+  /** Receives the readings that a follower or another relay has sent. */
   readonly onLoads: (report: LoadReport) => void;
   readonly logger: Logger;
 }
 
 /**
- * A follower for which so much waits is told no more until it has read: what
- * comes later goes in one update, and it asks the store meanwhile, as its pings
- * come back late.
+ * A follower with more bytes buffered receives no further messages until it has
+ * read. Later changes go out in one update; the follower polls the store
+ * meanwhile, since its pings come back late.
  */
-const MOST_BUFFERED_BYTES = 64 * 1024;
+const MAX_BUFFERED_BYTES = 64 * 1024;
 
 /** Ten times the size of the largest regular message. */
 const MAX_MESSAGE_BYTES = 256 * 1024;
@@ -72,7 +72,7 @@
     return this.followers.size;
   }
 
-  /** Rejects when the port can't be had. */
+  /** Rejects when the address can't be bound. */
   async start(): Promise<void> {
     const {address, logger} = this.options;
     await new Promise<void>((resolve, reject) => {
@@ -85,7 +85,7 @@
     logger.info('relay_started', {address});
   }
 
-  /** Ends all streams; their followers turn to another relay. */
+  /** Ends all streams; their followers switch to another relay. */
   stop(): void {
     for (const {call} of this.followers) call.end();
     for (const call of this.exchanges) call.end();
@@ -95,7 +95,10 @@
     this.options.logger.info('relay_stopped');
   }
 
-  /** The store has been asked about a table: what came, or that nothing did. */
+  /**
+   * After the store was read, publishes a table's changes or that there are
+   * none.
+   */
   confirm(table: RelayedTableName): void {
     for (const follower of this.followers) this.publish(follower, table);
   }
@@ -113,7 +116,9 @@
     for (const call of this.exchanges) writeUnlessBehind(call, toRelays);
   }
 
-  /** Only counts: leases and plans are rows of the same store. */
+  /**
+   * Writes only rows of counts: leases and plans are rows of the same store.
+   */
   private async write(call: WriteCall, reply: WriteReply): Promise<void> {
     if (!isCountsKey(call.request?.key)) {
       this.logRefused('write_refused', call);
@@ -164,7 +169,7 @@
     );
     const follower = {call, sentVersions, ping: 0};
     this.followers.add(follower);
-    onceOver(call, () => {
+    onStreamOver(call, () => {
       const wasThere = this.followers.delete(follower);
       if (wasThere) this.options.logger.info('follower_lost', {instance});
     });
@@ -174,7 +179,7 @@
 
   private addExchange(call: FollowCall, {instance}: ExchangeRequest): void {
     this.exchanges.add(call);
-    onceOver(call, () => this.exchanges.delete(call));
+    onStreamOver(call, () => this.exchanges.delete(call));
     this.options.logger.info('exchange_begun', {instance});
   }
 
@@ -198,7 +203,7 @@
 }
 
 function isBehind(call: FollowCall): boolean {
-  return call.writableLength > MOST_BUFFERED_BYTES;
+  return call.writableLength > MAX_BUFFERED_BYTES;
 }
 
 function writeUnlessBehind(call: FollowCall, message: RelayMessage): void {
@@ -206,7 +211,7 @@
 }
 
 /** Calls `end` when a stream is over, possibly more than once. */
-function onceOver(call: FollowCall, end: () => void): void {
+function onStreamOver(call: FollowCall, end: () => void): void {
   call.on('cancelled', end);
   call.on('close', end);
   call.on('error', end);
--- a/packages/gateway/src/relay/relay_stream.test.ts
+++ b/packages/gateway/src/relay/relay_stream.test.ts
@@ -14,7 +14,7 @@
 import {RELAY_SERVICE} from './relay_messages.js';
 import {RelayServer} from './relay_server.js';
 import {TableCopy, type TableChanges} from './table_copy.js';
-import {WriteGatherer} from './write_gatherer.js';
+import {WriteBatcher} from './write_batcher.js';
 
 async function startPair(
   t: ExecutionContext,
@@ -31,7 +31,7 @@
   copies.endpoints.replace([], 3);
   const {logger} = new NoOutput();
   const platform = new MemoryPlatform();
-  const writes = new WriteGatherer(platform);
+  const writes = new WriteBatcher(platform);
   const reports: LoadReport[] = [];
   const onLoads = (report: LoadReport) => void reports.push(report);
   const server = new RelayServer({address, copies, writes, onLoads, logger});
@@ -76,7 +76,7 @@
   while (!condition()) await new Promise(done => setTimeout(done, 10));
 }
 
-/** The relay tells its followers again and again until one has heard it. */
+/** Confirms a table to the relay's followers until the condition holds. */
 async function confirmUntil(
   server: RelayServer,
   condition: () => boolean,
@@ -87,7 +87,7 @@
   }
 }
 
-test('a follower hears each change once, and that there were none', async t => {
+test('a follower receives each change once, and confirmations without changes', async t => {
   const {server, copies, received} = await startPair(t, 20_000);
   await confirmUntil(server, () => received.length > 0);
   t.deepEqual(received[0], {since: 3, version: 3, rows: []});
@@ -111,14 +111,14 @@
   t.is(ends.length, 1);
 });
 
-test('a stream that says nothing ends by itself', async t => {
-  // The connection is up as far as both ends know, and nothing comes through.
+test('a stream without messages ends after a time-out', async t => {
+  // To both ends the connection seems up, but nothing gets through.
   const {ends} = await startPair(t, 200);
   await waitUntil(() => ends.length > 0);
   t.deepEqual(ends, ['silent']);
 });
 
-test('a relay writes for its follower, and the follower knows whether it has', async t => {
+test('a relay writes for its follower and reports whether the row was written', async t => {
   const {client, server, platform} = await startPair(t, 20_000);
   const row = {key: 'usage/1/follower', value: {counts: {shop: 3}}};
   t.true(await client.write(row));
@@ -127,21 +127,21 @@
   t.false(await client.write({...row, key: 'usage/2/follower'}));
 });
 
-test('a write that takes too long counts as not known to be done', async t => {
-  // Guards against an instance that never writes since its relay stands still.
+test('a write that takes too long counts as failed', async t => {
+  // Guards against an instance that never writes because its relay is frozen.
   const {client} = await startPair(t, 20_000, 1);
   t.false(await client.write({key: 'usage/1/follower', value: {}}));
 });
 
-test('a word of the relay counts from the ping that it brings back', async t => {
-  // Updates wait for seconds behind others on the relay's link. Were each taken
-  // for the state of the store at its arrival, an endpoint that has long said
-  // that it leaves would go on getting requests.
+test('an update is dated by the sending of the ping that it returns', async t => {
+  // Updates wait for seconds behind others on the relay's link. If each counted
+  // as the state of the store at its arrival, an endpoint that announced its
+  // departure long ago would go on getting requests.
   const {server, received, times} = await startPair(t, 20_000);
   await confirmUntil(server, () => times.some(Number.isFinite));
   const last = times.at(-1)!;
   const count = received.length;
-  // The relay makes an update, and nothing is read until much later.
+  // The relay sends an update, and nothing is read until 300 ms later.
   server.confirm('endpoints');
   const madeAtMs = performance.now();
   while (performance.now() - madeAtMs < 300);
@@ -150,7 +150,7 @@
   t.true(times[count] <= madeAtMs);
 });
 
-test('a relay writes no rows but counts', async t => {
+test('a relay writes only rows of counts', async t => {
   // Guards against a process on the relay's port that overwrites a lease.
   const {client, platform} = await startPair(t, 20_000);
   for (const key of ['leases/duties', 'shared/relay/akl-a/0', 'usage/x/y']) {
@@ -159,7 +159,7 @@
   t.deepEqual([...platform.rows.keys()], []);
 });
 
-test('who sends too much at once harms no other follower', async t => {
+test('a message that is too large does not affect other followers', async t => {
   // Guards against a process on the relay's port that fills its memory.
   const {client, server, received, platform} = await startPair(t, 20_000);
   const counts = Object.fromEntries(
@@ -171,8 +171,9 @@
   t.deepEqual([...platform.rows.keys()], ['usage/1/sound']);
 });
 
-test('messages that are none end their stream and nothing else', async t => {
-  // Guards against a process on the relay's port that ends the relay by a message without its fields.
+test('a malformed message ends only its own stream', async t => {
+  // Guards against a process that stops the relay with a message that lacks
+  // fields.
   const {server, address, received} = await startPair(t, 20_000);
   const RawStub = makeGenericClientConstructor(RELAY_SERVICE, 'Relay');
   for (const message of [{}, {kind: 'follow'}, {kind: 'other'}]) {
--- a/packages/gateway/src/relay/relayed_feed.ts
+++ b/packages/gateway/src/relay/relayed_feed.ts
@@ -4,9 +4,9 @@
 import type {TableChanges} from './table_copy.js';
 
 /**
- * A relay that has gone silent looks like a calm store. So it confirms that it
- * has asked the store, at least as often as promised; without such a word the
- * feed is stale and the store is asked directly.
+ * A relay that has gone silent looks like a store without changes. So a relay
+ * confirms at a minimum rate that it has polled the store; without a recent
+ * confirmation the feed is stale, and the store is polled directly.
  */
 export class RelayedFeed {
   private rows: FollowedRow[] = [];
@@ -15,22 +15,23 @@
   private confirmedAtMs = Number.NEGATIVE_INFINITY;
   private waiting = new Set<() => void>();
 
-  /** @param freshForMs how long a confirmation holds. */
+  /** @param freshForMs how long a confirmation is valid. */
   constructor(readonly freshForMs: number) {}
 
   isFresh(nowMs: number): boolean {
     return nowMs - this.confirmedAtMs < this.freshForMs;
   }
 
-  /** Whether nothing after the version is missing. */
+  /** Whether the feed has missed no change after the version. */
   covers(version: number): boolean {
     return version >= this.coveredFrom;
   }
 
   /**
-   * The relay's word: changes, or that there were none.
+   * Adds an update of the relay: changes, or a confirmation that there were
+   * none.
    *
-   * @param asOfMs the store is shown as it was at this time, or later.
+   * @param asOfMs the update reflects the store as of this time, or later.
    */
   take(changes: TableChanges, asOfMs: number): void {
     if (changes.since > this.version || !this.covers(changes.since)) {
@@ -43,7 +44,7 @@
     this.wake();
   }
 
-  /** The relay is gone, or no longer to be believed. */
+  /** Drops the rows and makes the feed stale, as the relay is lost. */
   close(): void {
     this.rows = [];
     this.coveredFrom = Number.POSITIVE_INFINITY;
@@ -51,7 +52,7 @@
     this.wake();
   }
 
-  /** Rows after a version, taken out of the feed. */
+  /** Empties the feed and returns its rows after the version. */
   drain(known: number): TableChanges {
     const rows = this.rows.filter(row => row.version > known);
     this.rows = [];
@@ -63,7 +64,9 @@
     return this.rows.length > 0;
   }
 
-  /** Resolves with the next word of the relay, or after the time. */
+  /**
+   * Resolves at the next update, when the feed is closed, or after `waitMs`.
+   */
   next(waitMs: number): Promise<void> {
     return new Promise(resolve => {
       const finish = () => {
--- a/packages/gateway/src/relay/relayed_table.test.ts
+++ b/packages/gateway/src/relay/relayed_table.test.ts
@@ -64,9 +64,9 @@
   t.deepEqual(store.waits, []);
 });
 
-test('a relay that falls silent is not taken for a calm store', async t => {
-  // The relay is frozen or cut off from the store. An endpoint has said that it
-  // leaves; without another look at the store it would get requests for ever.
+test('a relay that falls silent is not taken for a store without changes', async t => {
+  // The relay is frozen or cut off from the store. An endpoint has announced
+  // its departure; without a poll of the store it would get requests for ever.
   const {store, feed, table} = makeTable();
   feed.take({since: 5, version: 5, rows: []}, performance.now());
   const reading = await table.waitForChanges(5, 10_000);
@@ -74,7 +74,7 @@
   t.deepEqual(store.waits, [10_000]);
 });
 
-test('a relay that goes is replaced by the store at once', async t => {
+test('when the relay is lost, the store is polled at once', async t => {
   const {store, feed, table} = makeTable();
   feed.take({since: 5, version: 5, rows: []}, performance.now());
   const waiting = table.waitForChanges(5, 10_000);
@@ -83,16 +83,16 @@
   t.is(store.waits.length, 1);
 });
 
-test('what happened before the relay was followed is read from the store', async t => {
-  // A change came between the last poll and the stream. The relay tells only of
-  // what follows; the gap must not be passed over.
+test('changes made before the relay was followed are read from the store', async t => {
+  // A change came between the last poll and the start of the stream. The relay
+  // sends only later changes; the gap must not be skipped.
   const {store, feed, table} = makeTable();
   feed.take({since: 9, version: 9, rows: []}, performance.now());
   t.deepEqual(keysOf(await table.waitForChanges(5, 1000)), ['from the store']);
   t.deepEqual(store.waits, [0]);
 });
 
-test('a relay that lost its own history leaves a gap that is seen', async t => {
+test('a gap is detected when a relay has lost its own history', async t => {
   const {store, feed, table} = makeTable();
   feed.take(
     {since: 5, version: 6, rows: [row('a', 6, 'x')]},
@@ -103,7 +103,7 @@
   t.deepEqual(store.waits, [0]);
 });
 
-test('a copy tells what changed since a version, removed rows too', t => {
+test('a copy returns changes since a version, removed rows included', t => {
   const copy = new TableCopy();
   copy.replace([row('a', 3, 'x'), row('b', 4, 'x')], 4);
   copy.apply([row('a', 5), row('c', 6, 'x')], 6);
@@ -118,14 +118,14 @@
   t.like(changes, {since: 4, version: 6});
 });
 
-test('a copy does not pretend to know what came before its first read', t => {
+test('a copy returns no changes from before its first read', t => {
   const copy = new TableCopy();
   copy.replace([row('a', 3, 'x')], 4);
   t.deepEqual(copy.changesSince(2), {since: 4, version: 4, rows: []});
   t.deepEqual(copy.changesSince(7), {since: 4, version: 4, rows: []});
 });
 
-test('a copy forgets old removals and says so', t => {
+test('a copy drops old removals and raises the version it is complete since', t => {
   const copy = new TableCopy();
   copy.replace([], 1);
   for (let version = 2; version < 700; version += 1) {
@@ -135,7 +135,7 @@
   t.is(copy.changesSince(650).rows.length, 49);
 });
 
-test('an update that was long under way makes nothing fresh', async t => {
+test('an update that was delayed for long does not make the feed fresh', async t => {
   const {store, feed, table} = makeTable();
   feed.take(
     {since: 5, version: 5, rows: []},
--- a/packages/gateway/src/relay/relays.test.ts
+++ b/packages/gateway/src/relay/relays.test.ts
@@ -14,11 +14,13 @@
 import {Relays} from './relays.js';
 import {readSlot} from './slot_rows.js';
 
-/** The instances' clocks run so much faster than the test's. */
+/** Factor by which the instances' clocks run faster than the test's. */
 const CLOCK_RATE = 2;
-const LOOK_EVERY_MS = 50;
+const LEARN_SLOTS_EVERY_MS = 50;
 
-/** Instances of one data centre that start at once; nobody has counted them. */
+/**
+ * Instances of one data centre that start together; their number is unknown.
+ */
 class StartedInstances {
   readonly platform = new MemoryPlatform();
   readonly relays: Relays[] = [];
@@ -34,7 +36,7 @@
       relays.start();
       this.relays.push(relays);
     }
-    const timer = setInterval(() => this.learnSlots(), LOOK_EVERY_MS);
+    const timer = setInterval(() => this.learnSlots(), LEARN_SLOTS_EVERY_MS);
     t.teardown(async () => {
       clearInterval(timer);
       await Promise.all(this.relays.map(each => each.stop()));
@@ -96,7 +98,7 @@
   while (!condition()) await new Promise(done => setTimeout(done, 10));
 }
 
-test('one relay serves before anybody has counted the instances', async t => {
+test('one relay serves before the number of instances is known', async t => {
   // Guards against each of many instances polling the store during the start.
   const started = new StartedInstances();
   await started.start(t, 8);
@@ -105,8 +107,8 @@
   t.is(started.countServing(), 1);
 });
 
-test('a few instances give the relay up and leave no slot taken', async t => {
-  // Guards against relays that poll more often than their two followers would.
+test('a few instances stop relaying and release their slots', async t => {
+  // Guards against relays that make more polls than their two followers would.
   const started = new StartedInstances();
   await started.start(t, 2);
   await waitUntil(() => started.instances !== undefined);
@@ -116,7 +118,7 @@
   t.pass();
 });
 
-test('all instances of a data centre know what one of them heard of an engine', async t => {
+test('all instances of a data centre learn the load that an engine reported to one', async t => {
   // Guards against full engines that look idle to all instances but one.
   const started = new StartedInstances();
   await started.start(t, 8);
--- a/packages/gateway/src/relay/relays.ts
+++ b/packages/gateway/src/relay/relays.ts
@@ -17,51 +17,52 @@
 import {RelayedTable} from './relayed_table.js';
 import {slotKey, type SlotValue} from './slot_rows.js';
 import {TableCopy} from './table_copy.js';
-import {WriteGatherer} from './write_gatherer.js';
+import {WriteBatcher} from './write_batcher.js';
 
-/** What {@link Relays} are made from. */
+/** Options of {@link Relays}. */
 export interface RelaysOptions {
   readonly instance: InstanceId;
   readonly dataCentre: DataCentreId;
   readonly dataCentres: number;
   /** 0 to 1: how well this instance's machine can serve others. */
   readonly strength: number;
-  /** Where other instances may reach this one; undefined: it takes no part. */
+  /** Address for other instances; undefined: this one takes no part. */
   readonly address: string | undefined;
-  /** A change has to be in force so soon after the store has taken it. */
+  /** Time within which a change accepted by the store has to be in force. */
   readonly inForceWithinMs: number;
   readonly platform: Platform;
   readonly loads: LoadView;
   readonly metrics: Pick<GatewayMetrics, 'countLoads'>;
   readonly logger: Logger;
   readonly nowMs: () => number;
-  /** How many instances there are, as far as it is known. */
+  /** Number of instances; undefined while not known. */
   readonly countInstances: () => number | undefined;
-  /** Receives an estimate while the number isn't known. */
+  /** Receives an estimate while the number of instances isn't known. */
   readonly onEstimate: (instances: number) => void;
 }
 
 /**
- * Shares of the time in which a change has to be in force. A relay's poll lasts
- * at most the first and pauses for at most the second, so that it confirms
- * within their sum; a follower pings it each third. Together they stay below the
- * fourth, for which a word of the relay holds, counted from the ping that it
- * brings back; then the follower asks the store, and has the rest for that.
+ * Shares of `inForceWithinMs`. A relay's poll lasts at most the first, and the
+ * pause after it at most the second, so that a relay confirms within their sum.
+ * A follower pings at intervals of the third. Together the three stay below the
+ * fourth, for which a confirmation is valid, counted from the sending of the
+ * ping whose number it carries. Then the follower polls the store, with the
+ * rest of the time left for that.
  */
 const RELAY_WAIT_SHARE = 0.3;
 const RELAY_GATHER_SHARE = 0.15;
 const PING_SHARE = 0.1;
 const FRESH_SHARE = 0.65;
-/** Facts are polled for eight seconds at a time. */
+/** A poll for facts lasts up to eight seconds. */
 const FACTS_FRESH_FOR_MS = 10_000;
 const TICK_MS = 500;
 
-/** Owns the roster and whatever socket the part in it needs. */
+/** Owns the roster, and the server or the streams of this instance's role. */
 export class Relays {
   private readonly roster: RelayRoster;
   private readonly copies: Record<RelayedTableName, TableCopy>;
   private readonly feeds: Record<RelayedTableName, RelayedFeed>;
-  private readonly writes: WriteGatherer;
+  private readonly writes: WriteBatcher;
   private readonly estimate: InstanceEstimate;
   private readonly host: RelayHost;
   private readonly follower: RelayFollower;
@@ -77,7 +78,7 @@
       dataCentres: options.dataCentres,
       relaysPayFrom: this.roster.paysFrom,
     });
-    this.writes = new WriteGatherer(options.platform);
+    this.writes = new WriteBatcher(options.platform);
     this.copies = perTable(() => new TableCopy());
     const freshForMs = options.inForceWithinMs * FRESH_SHARE;
     this.feeds = perTable(
@@ -111,7 +112,7 @@
     this.timer = setInterval(() => void this.tick(), TICK_MS);
   }
 
-  /** Leaves the slot to others and closes what is open. */
+  /** Closes the server and all streams and releases this instance's slot. */
   async stop(): Promise<void> {
     clearInterval(this.timer);
     this.host.close();
@@ -119,15 +120,19 @@
     await this.leave();
   }
 
-  /** The table as it is to be followed: by way of a relay where one is. */
+  /**
+   * Wraps a table of the store to follow it through a relay where there is one.
+   */
   wrap(name: RelayedTableName, store: FollowedTable): FollowedTable {
     return new RelayedTable(store, this.feeds[name], this.options.nowMs);
   }
 
-  /** How a relay polls a table; undefined: like all other instances. */
+  /**
+   * Poll timing of a table at a relay; undefined: that of all other instances.
+   */
   paceOf(name: RelayedTableName): FollowPace | undefined {
-    // Facts may be known later; their feed stays fresh for longer. A relay that
-    // hardly anybody follows stands by, and needn't ask more often.
+    // Facts may be known later, and their feed stays fresh for longer. A relay
+    // with too few followers is on standby and need not poll more often.
     const {followers} = this.host.stats;
     const isSlow = name === 'shared' || !this.roster.isWorthwhile(followers);
     if (isSlow) return undefined;
@@ -138,20 +143,22 @@
     };
   }
 
-  /** What this instance has learnt of a table, for those that follow it. */
+  /** This instance's copy of a table, from which its followers are updated. */
   copyOf(name: RelayedTableName): TableCopy {
     return this.copies[name];
   }
 
-  /** The store itself, not a relay, has just been heard of a table. */
+  /** Notifies followers that a table was just read from the store itself. */
   confirm(name: RelayedTableName): void {
     this.host.confirm(name);
   }
 
   /**
-   * Writes a row together with those of others, where that saves a call.
+   * Writes a row in a batch with those of other instances, where that saves a
+   * call.
    *
-   * @returns whether the store has it; if not, write it in another way.
+   * @returns whether the row is known to be in the store; if not, the caller
+   *   has to write it in another way.
    */
   async write(key: string, value: unknown): Promise<boolean> {
     if (this.host.isServing) {
@@ -188,7 +195,7 @@
       const instances = this.options.countInstances();
       const isUnknown = instances === undefined;
       if (isUnknown || this.roster.pays(instances)) {
-        await this.takePart(isUnknown);
+        await this.participate(isUnknown);
       } else {
         await this.leave();
       }
@@ -197,9 +204,9 @@
     }
   }
 
-  private async takePart(isUnknown: boolean): Promise<void> {
+  private async participate(isUnknown: boolean): Promise<void> {
     const {roster, options} = this;
-    await this.matchServer();
+    await this.syncServer();
     const nowMs = options.nowMs();
     const slot = roster.slotToClaim(nowMs, isUnknown);
     if (slot !== undefined) await this.claim(slot);
@@ -250,7 +257,7 @@
   }
 
   /** Serves while this instance has a slot, and only then. */
-  private async matchServer(): Promise<void> {
+  private async syncServer(): Promise<void> {
     if (this.roster.isRelay && (await this.serve())) {
       await this.peers.connect();
     } else this.stopServing();
@@ -261,7 +268,9 @@
     return this.host.start();
   }
 
-  /** Listens first: followers connect as soon as they read the row. */
+  /**
+   * Starts the server first: followers connect as soon as they read the row.
+   */
   private async claim(slot: RelaySlot): Promise<void> {
     const {platform, instance, address = '', logger} = this.options;
     if (!(await this.serve())) return;
--- a/packages/gateway/src/relay/slot_rows.ts
+++ b/packages/gateway/src/relay/slot_rows.ts
@@ -1,4 +1,4 @@
-/** Rows that say who relays. */
+/** Rows that hold the relays' slots. */
 
 import type {RelaySlot} from '@snipestage/routing/relay_roster.js';
 import {
@@ -31,7 +31,7 @@
 }
 
 /**
- * @returns undefined when the row is about something else.
+ * @returns undefined when the row isn't a slot's.
  * @example
  * const slot = readSlot(row);
  */
@@ -39,12 +39,12 @@
   const match = SLOT_KEY.exec(row.key);
   if (match === null) return undefined;
   const value = parseJson(row.data) as SlotValue | undefined;
-  const isWhole =
+  const isValid =
     typeof value?.instance === 'string' && typeof value.address === 'string';
   return {
     dataCentre: brandAs<DataCentreId>(match[1]),
     number: Number(match[2]),
-    holder: isWhole
+    holder: isValid
       ? {
           instance: brandAs<InstanceId>(value.instance),
           address: value.address,
--- a/packages/gateway/src/relay/table_copy.ts
+++ b/packages/gateway/src/relay/table_copy.ts
@@ -4,14 +4,17 @@
 
 /** What changed in a table, and up to which version. */
 export interface TableChanges {
-  /** Changes after this version are all there. */
+  /** The rows include all changes after this version. */
   readonly since: number;
   readonly version: number;
   readonly rows: readonly FollowedRow[];
 }
 
-/** Removed rows that are kept; followers that missed more read the store. */
-const MOST_REMOVED_ROWS = 500;
+/**
+ * Number of removed rows that are kept; followers that missed more read the
+ * store.
+ */
+const MAX_REMOVED_ROWS = 500;
 
 /** Rows by key; removed ones are kept for a while. */
 export class TableCopy {
@@ -25,7 +28,7 @@
     return this.currentVersion;
   }
 
-  /** The whole table; what was removed before is not known. */
+  /** Replaces the whole table; earlier removals are not known. */
   replace(rows: readonly FollowedRow[], version: number): void {
     this.rows = new Map(rows.map(row => [row.key, row]));
     this.removed = [];
@@ -33,20 +36,21 @@
     this.currentVersion = version;
   }
 
-  /** Changes in their order, up to a version. */
+  /** Applies changes in their order, up to a version. */
   apply(rows: readonly FollowedRow[], version: number): void {
     for (const row of rows) this.applyOne(row);
     this.currentVersion = version;
     const forgotten = this.removed.splice(
       0,
-      Math.max(0, this.removed.length - MOST_REMOVED_ROWS),
+      Math.max(0, this.removed.length - MAX_REMOVED_ROWS),
     );
     const last = forgotten.at(-1);
     if (last !== undefined) this.completeSince = last.version;
   }
 
   /**
-   * @returns changes since the version, or from now on when it is too old.
+   * @returns changes since the version; none, with `since` at the current
+   *   version, when the given one is too old or newer than the copy.
    * @example
    * const {since, rows} = copy.changesSince(known);
    */
--- a/packages/gateway/src/relay/write_gatherer.test.ts
+++ b/packages/gateway/src/relay/write_batcher.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import {MemoryPlatform} from '../test_support/memory_platform.js';
-import {WriteGatherer} from './write_gatherer.js';
+import {WriteBatcher} from './write_batcher.js';
 
-/** Counts the transactions of a platform in memory. */
+/** An in-memory platform that counts transactions. */
 class CountedPlatform extends MemoryPlatform {
   transactions = 0;
 
@@ -16,40 +16,40 @@
   return {key: `usage/1/${name}`, value: {counts: {shop: 1}}};
 }
 
-test('rows that come together are one transaction', async t => {
+test('rows added together are written in one transaction', async t => {
   const platform = new CountedPlatform();
-  const gatherer = new WriteGatherer(platform);
+  const batcher = new WriteBatcher(platform);
   const names = Array.from({length: 20}, (_, index) => `instance-${index}`);
-  const results = names.map(name => gatherer.add(rowOf(name), () => true));
+  const results = names.map(name => batcher.add(rowOf(name), () => true));
   t.true((await Promise.all(results)).every(Boolean));
   t.is(platform.transactions, 1);
   t.is(platform.rows.size, 20);
 });
 
-test('no transaction has more rows than the store takes', async t => {
+test('no transaction has more rows than the store accepts', async t => {
   const platform = new CountedPlatform();
-  const gatherer = new WriteGatherer(platform);
+  const batcher = new WriteBatcher(platform);
   const names = Array.from({length: 100}, (_, index) => `instance-${index}`);
-  await Promise.all(names.map(name => gatherer.add(rowOf(name), () => true)));
+  await Promise.all(names.map(name => batcher.add(rowOf(name), () => true)));
   t.is(platform.transactions, 2);
 });
 
-test('a row whose sender has given up is not written', async t => {
-  // The relay was frozen. Its follower has written the row by itself meanwhile,
-  // and a newer one: the old figure must not come back over it.
+test('a row is not written when its sender has given up', async t => {
+  // The relay was frozen. Its follower has meanwhile written the row itself,
+  // and a newer one, which the old value must not overwrite.
   const platform = new CountedPlatform();
-  const gatherer = new WriteGatherer(platform);
+  const batcher = new WriteBatcher(platform);
   let isWanted = true;
-  void gatherer.add(rowOf('gone'), () => isWanted);
-  const kept = gatherer.add(rowOf('kept'), () => true);
+  void batcher.add(rowOf('gone'), () => isWanted);
+  const kept = batcher.add(rowOf('kept'), () => true);
   isWanted = false;
   await kept;
   t.deepEqual([...platform.rows.keys()], ['usage/1/kept']);
 });
 
-test('a writer whose row may be lost gets a failure', async t => {
+test('a writer gets a failure when its row may be lost', async t => {
   const platform = new CountedPlatform();
   platform.losses.push('lose_answer');
-  const gatherer = new WriteGatherer(platform);
-  t.false(await gatherer.add(rowOf('unsure'), () => true));
+  const batcher = new WriteBatcher(platform);
+  t.false(await batcher.add(rowOf('unsure'), () => true));
 });
--- a/packages/gateway/src/row_decoder.ts
+++ b/packages/gateway/src/row_decoder.ts
@@ -1,11 +1,11 @@
-/** How rows of the platform's tables are read. */
+/** Decodes rows of the platform's tables. */
 
 import type {EndpointChange} from '@snipestage/routing/endpoint_directory.js';
 import type {RoutingConfiguration} from '@snipestage/routing/route.js';
 import type {DataCentreId} from '@snipestage/types/ids.js';
 import type {FollowedRow} from './table_follower.js';
 
-/** What a row of the operators' table says. */
+/** Decoded row of the operators' table. */
 export type OperatorRow =
   | {
       readonly kind: 'configuration';
@@ -19,7 +19,7 @@
     }
   | {readonly kind: 'unreadable'};
 
-/** Turns rows of the platform's tables into the product's types. */
+/** Turns rows of the platform's tables into the types of routing. */
 export abstract class RowDecoder {
   abstract decodeOperatorRow(row: FollowedRow): OperatorRow;
   abstract decodeEndpoint(row: FollowedRow): EndpointChange;
--- a/packages/gateway/src/shared_facts.test.ts
+++ b/packages/gateway/src/shared_facts.test.ts
@@ -28,35 +28,35 @@
   return decodeFact({key, version: row.version, data});
 }
 
-test('what all instances saw is added up and told once', async t => {
+test('demand of all instances is summed, and published only when it changes', async t => {
   const platform = new MemoryPlatform();
   const {logger} = new NoOutput();
   const facts = new SharedFacts({platform, logger});
-  await facts.publishSeen([written(10), written(30)]);
+  await facts.publishTotals([written(10), written(30)]);
   const fact = read(platform, 'demand/repair');
   t.like(fact, {kind: 'demand', service: 'repair'});
   t.deepEqual(read(platform, 'instances'), {kind: 'instances', count: 2});
   const {version} = platform.rows.get('shared/demand/repair')!;
-  await facts.publishSeen([written(20), written(60)]);
+  await facts.publishTotals([written(20), written(60)]);
   t.is(platform.rows.get('shared/demand/repair')!.version, version);
-  await facts.publishSeen([written(20), written(60), written(1)]);
+  await facts.publishTotals([written(20), written(60), written(1)]);
   t.deepEqual(read(platform, 'instances'), {kind: 'instances', count: 3});
 });
 
-test('how many instances there are is told before there is any demand', t => {
-  // Dozens of instances start long before the first caller comes. As long as
-  // none knows of the others, each stands for the lease and follows the store by
-  // itself.
+test('the number of instances is published before there is any demand', t => {
+  // Dozens of instances start long before the first request. While their number
+  // is unknown, each competes for the lease and follows the store directly.
   const platform = new MemoryPlatform();
   const facts = new SharedFacts({platform, logger: new NoOutput().logger});
   const idle = {counts: {}, isFinal: true, demands: {}};
-  void facts.publishSeen([idle, idle, idle]);
+  void facts.publishTotals([idle, idle, idle]);
   t.deepEqual(read(platform, 'instances'), {kind: 'instances', count: 3});
 });
 
-test('a crash is told to all instances', async t => {
-  // A request takes down one engine after the other, and comes in at another
-  // instance each time. None of them alone sees more than one crash.
+test('a crash is published to all instances', async t => {
+  // Guards against a request that crashes one engine after the other and
+  // arrives at a different instance each time: no instance alone sees more than
+  // one crash.
   const platform = new MemoryPlatform();
   const facts = new SharedFacts({platform, logger: new NoOutput().logger});
   const crash = {
@@ -71,7 +71,7 @@
   t.deepEqual(read(platform, 'crash/a/1/1'), {kind: 'crash', crash});
 });
 
-test('rows of another form are no facts', t => {
+test('malformed and other rows are not decoded as facts', t => {
   const row = (key: string, text: string) =>
     decodeFact({key, version: 1, data: Buffer.from(text)});
   t.is(row('demand/repair', '[]'), undefined);
--- a/packages/gateway/src/shared_facts.ts
+++ b/packages/gateway/src/shared_facts.ts
@@ -10,7 +10,7 @@
 import type {FollowedRow} from './table_follower.js';
 import type {CountsValue} from './usage_rows.js';
 
-/** A fact that came in. */
+/** A fact that an instance published. */
 export type SharedFact =
   | {readonly kind: 'crash'; readonly crash: ReportedCrash}
   | {
@@ -20,7 +20,7 @@
     }
   | {
       readonly kind: 'instances';
-      /** Those that wrote what they counted in a window. */
+      /** Instances that wrote their counts of a window, or an estimate. */
       readonly count: number;
     };
 
@@ -28,7 +28,7 @@
 const DEMAND = 'demand/';
 const INSTANCES = 'instances';
 
-/** Value of a row of demand. */
+/** Value of a demand row. */
 interface DemandValue {
   readonly demands: readonly RouteDemand[];
 }
@@ -38,10 +38,10 @@
   readonly count: number;
 }
 
-/** A change of the number of instances that others should hear of. */
-const INSTANCES_CHANGE = 0.25;
+/** Relative change above which the number of instances is published again. */
+const INSTANCE_COUNT_CHANGE_SHARE = 0.25;
 
-/** What a {@link SharedFacts} is made from. */
+/** Options of {@link SharedFacts}. */
 export interface SharedFactsOptions {
   readonly platform: Platform;
   readonly logger: Logger;
@@ -52,7 +52,7 @@
   readonly value: unknown;
 }
 
-/** Writes facts; a write that fails is logged and left to the next one. */
+/** Publishes facts; a write that fails is logged and not repeated. */
 export class SharedFacts {
   private readonly publishedDemands = new Map<
     ServiceId,
@@ -83,23 +83,25 @@
     });
   }
 
-  /** Adds up what all instances wrote, and publishes what has changed. */
-  async publishSeen(rows: readonly CountsValue[]): Promise<void> {
-    const changed = [...this.newCount(rows), ...this.newDemands(rows)];
+  /**
+   * Adds up the rows of all instances and publishes totals that have changed.
+   */
+  async publishTotals(rows: readonly CountsValue[]): Promise<void> {
+    const changed = [...this.changedCount(rows), ...this.changedDemands(rows)];
     if (changed.length > 0) await this.write('demand', changed);
   }
 
-  private newCount({length: count}: readonly CountsValue[]): FactRow[] {
+  private changedCount({length: count}: readonly CountsValue[]): FactRow[] {
     const before = this.publishedCount;
     const isKnown =
       before !== undefined &&
-      Math.abs(count - before) <= INSTANCES_CHANGE * before;
+      Math.abs(count - before) <= INSTANCE_COUNT_CHANGE_SHARE * before;
     if (isKnown || count === 0) return [];
     this.publishedCount = count;
     return [{key: `shared/${INSTANCES}`, value: {count}}];
   }
 
-  private newDemands(rows: readonly CountsValue[]): FactRow[] {
+  private changedDemands(rows: readonly CountsValue[]): FactRow[] {
     const services = new Set(
       rows.flatMap(({demands}) => Object.keys(demands ?? {})),
     );
@@ -126,7 +128,7 @@
 }
 
 /**
- * @returns undefined when the row is gone or can't be read.
+ * @returns undefined when the row was removed, is malformed or holds no fact.
  * @example
  * const fact = decodeFact(row);
  */
@@ -134,9 +136,9 @@
   const value = parseJson(row.data);
   if (row.key.startsWith(CRASH)) {
     const crash = value as ReportedCrash | undefined;
-    const isWhole =
+    const isValid =
       typeof crash?.id === 'string' && Array.isArray(crash.inFlight);
-    return isWhole ? {kind: 'crash', crash} : undefined;
+    return isValid ? {kind: 'crash', crash} : undefined;
   }
   if (row.key === INSTANCES) {
     const count = (value as InstancesValue | undefined)?.count;
--- a/packages/gateway/src/state_follower.ts
+++ b/packages/gateway/src/state_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps what an instance knows in step with the platform's tables. */
+/** Keeps an instance's routing state in step with the platform's tables. */
 
 import type {Logger} from '@snipestage/log/logger.js';
 import type {AgreedClock} from '@snipestage/routing/agreed_clock.js';
@@ -30,7 +30,7 @@
   readonly shared: FollowedTable;
 }
 
-/** What a {@link StateFollower} is made from. */
+/** Options of {@link StateFollower}. */
 export interface StateFollowerOptions {
   readonly tables: FollowedTables;
   readonly decoder: RowDecoder;
@@ -41,34 +41,39 @@
   readonly recovery: StoreRecovery;
   readonly logger: Logger;
   readonly nowMs: () => number;
-  /** A change has to be known so soon, also over a connection that broke. */
+  /**
+   * Time within which a change has to be known, even when a connection breaks.
+   */
   readonly knownWithinMs: number;
-  /** A change has to be in force so soon after the store has taken it. */
+  /** Time within which a change accepted by the store has to be in force. */
   readonly inForceWithinMs: number;
   readonly onConfiguration: (configuration: RoutingConfiguration) => void;
   readonly onEvacuated: (dataCentres: readonly DataCentreId[]) => void;
 }
 
 /**
- * A long poll ends after this share of the time in which a change has to be
- * known, whatever happens to a connection: one that has gone silent shows by
- * that, and the rest is left for a new one.
+ * A long poll ends after this share of `knownWithinMs`, whatever happens to its
+ * connection. This detects a connection that has gone silent, and leaves the
+ * rest of the time for a new one.
  */
 const FOLLOW_WAIT_SHARE = 0.7;
-/** Crashes are rare, and the third of a request may be known seconds later. */
+/** Crashes are rare, and a request's third crash may be known seconds later. */
 const FOLLOW_FACTS_WAIT_MS = 8000;
 /**
- * After a change, the next poll waits for this share of the time in which a
- * change has to be in force, so that those that follow come in one answer. A
- * poll that is sent then is answered within milliseconds; the rest is left for
- * a slow store. Endpoints that come and go by turns change a row every few
- * hundred milliseconds, and each answer is a priced call of every instance.
+ * After a change, the next poll is delayed by this share of `inForceWithinMs`,
+ * so that the changes that follow come in one answer. A poll sent then is
+ * answered within milliseconds; the rest of the time is left for a slow store.
+ * Endpoints that come and go in turn change a row every few hundred
+ * milliseconds, and each answer is a priced call of every instance.
  */
 const GATHER_SHARE = 0.35;
-/** Share of that time by which the first poll is delayed to find a relay. */
+/**
+ * Share of `inForceWithinMs` by which the first poll is delayed, so that the
+ * instance can find a relay instead.
+ */
 const INITIAL_DELAY_SHARE = 0.8;
 
-/** Owns the followers. */
+/** Owns the followers of the tables and applies what they read. */
 export class StateFollower {
   private readonly followers: TableFollower[] = [];
   private readonly operatorRows: OperatorRows;
@@ -79,7 +84,7 @@
     this.addFollowers();
   }
 
-  /** The configuration and the endpoints are known. */
+  /** Whether both the configuration and the endpoints are known. */
   get isComplete(): boolean {
     return this.options.state.table !== undefined && this.hasEndpoints;
   }
@@ -123,7 +128,7 @@
     const own = {
       waitMs,
       gatherMs: inForceWithinMs * GATHER_SHARE,
-      // The shared table has the rows of the relays.
+      // No initial delay for the shared table: it holds the relays' rows.
       ...(name === 'shared'
         ? {}
         : {initialDelayMs: inForceWithinMs * INITIAL_DELAY_SHARE}),
@@ -141,7 +146,9 @@
     );
   }
 
-  /** For the instances that follow the store by way of this one. */
+  /**
+   * Copies a reading for the instances that follow the store through this one.
+   */
   private copy(
     name: RelayedTableName,
     {rows, version, isRelayed}: RowsReading,
@@ -172,7 +179,7 @@
     for (const change of changes) {
       if (change.kind === 'listed') {
         const {id, isLeaving, service} = change.endpoint;
-        this.noteNewLife(change.endpoint);
+        this.noteRestart(change.endpoint);
         logger.info('endpoint_listed', {
           endpoint: id,
           dataCentre: change.endpoint.dataCentre,
@@ -199,11 +206,11 @@
     }
   }
 
-  private noteNewLife(endpoint: ServingEndpoint): void {
+  private noteRestart(endpoint: ServingEndpoint): void {
     const known = this.options.state.directory.find(endpoint.id);
     if (known === undefined) return;
-    const isNewLife = known.bornEpochMs !== endpoint.bornEpochMs;
-    if (isNewLife) this.options.crashes.noteUnreachable(endpoint);
+    const isRestarted = known.bornEpochMs !== endpoint.bornEpochMs;
+    if (isRestarted) this.options.crashes.noteUnreachable(endpoint);
   }
 
   private learnFacts(rows: readonly FollowedRow[]): void {
--- a/packages/gateway/src/store_recovery.test.ts
+++ b/packages/gateway/src/store_recovery.test.ts
@@ -1,26 +1,31 @@
 import test from 'ava';
 import {StoreRecovery} from './store_recovery.js';
 
-test('one of three followers asks a store that is away', t => {
-  // Guards against three polls of each of hundreds of instances in an outage.
+test('only the first follower that failed retries at the normal pace', t => {
+  // Guards against three polls by each of hundreds of instances in an outage.
   const recovery = new StoreRecovery();
   const [configuration, endpoints] = [{}, {}];
-  t.is(recovery.lose(configuration, 800), 800);
-  t.is(recovery.lose(endpoints, 800), 2400);
-  t.is(recovery.lose(configuration, 800), 800);
-  t.true(recovery.isAway);
+  t.is(recovery.noteFailure(configuration, 800), 800);
+  t.is(recovery.noteFailure(endpoints, 800), 2400);
+  t.is(recovery.noteFailure(configuration, 800), 800);
+  t.true(recovery.isUnavailable);
 });
 
-test('the others ask as soon as one has the store back', async t => {
-  // Guards against endpoints that leave unseen for seconds after an outage.
+test('the other followers retry as soon as one succeeds', async t => {
+  // Guards against departures of endpoints that go unnoticed for seconds after
+  // an outage.
   const recovery = new StoreRecovery();
   const [configuration, endpoints] = [{}, {}];
-  recovery.lose(configuration, 800);
-  const pauseMs = recovery.lose(endpoints, 20_000);
+  recovery.noteFailure(configuration, 800);
+  const pauseMs = recovery.noteFailure(endpoints, 20_000);
   const waited = recovery.wait(pauseMs);
-  recovery.regain(configuration);
+  recovery.noteSuccess(configuration);
   await waited;
-  t.is(recovery.lose(endpoints, 800), 800, 'it is the first now');
-  recovery.regain(endpoints);
-  t.false(recovery.isAway);
+  t.is(
+    recovery.noteFailure(endpoints, 800),
+    800,
+    'it is now the first that failed',
+  );
+  recovery.noteSuccess(endpoints);
+  t.false(recovery.isUnavailable);
 });
--- a/packages/gateway/src/store_recovery.ts
+++ b/packages/gateway/src/store_recovery.ts
@@ -5,17 +5,17 @@
 
 /**
  * Load pattern: the store is unavailable for seconds, and each of hundreds of
- * instances retries three tables. Only the first follower that failed retries at
- * the normal pace; when it succeeds, the others retry at once. They also retry
- * slowly by themselves, since a single table may fail.
+ * instances retries three tables. Only the first follower that failed retries
+ * at the normal pace; when it succeeds, the others retry at once. They also
+ * retry slowly by themselves, since a single table may fail.
  */
 export class StoreRecovery {
-  /** Followers without the store, in the order in which they failed. */
+  /** Followers whose last call failed, in the order of their first failures. */
   private readonly lost = new Set<object>();
   private readonly waiting = new Set<() => void>();
 
   /** Whether any follower's last call failed. */
-  get isAway(): boolean {
+  get isUnavailable(): boolean {
     return this.lost.size > 0;
   }
 
@@ -27,14 +27,14 @@
    * @example
    * const pauseMs = recovery.lose(this, backoffMs);
    */
-  lose(follower: object, pauseMs: number): number {
+  noteFailure(follower: object, pauseMs: number): number {
     this.lost.add(follower);
     const [first] = this.lost;
     return first === follower ? pauseMs : pauseMs * STANDBY_FACTOR;
   }
 
   /** Records a successful call and wakes the waiting followers. */
-  regain(follower: object): void {
+  noteSuccess(follower: object): void {
     if (!this.lost.delete(follower)) return;
     for (const wake of [...this.waiting]) wake();
   }
--- a/packages/gateway/src/table_follower.test.ts
+++ b/packages/gateway/src/table_follower.test.ts
@@ -7,7 +7,7 @@
 } from './table_follower.js';
 import {NoOutput} from './test_support/no_output.js';
 
-/** Gives prepared readings one after the other. */
+/** Returns prepared readings one after the other. */
 class ScriptedTable extends FollowedTable {
   readonly name = 'scripted';
   readonly calls: string[] = [];
@@ -40,7 +40,7 @@
   initialDelayMs?: number,
 ) {
   const table = new ScriptedTable([...readings]);
-  const told: string[] = [];
+  const notifications: string[] = [];
   const keysOf = (list: readonly FollowedRow[]) =>
     list.map(({key}) => key).join(',');
   const output = new NoOutput();
@@ -50,25 +50,25 @@
     logger: output.logger,
     random: () => 1,
     listener: {
-      replaced: list => told.push(`replaced ${keysOf(list)}`),
-      changed: list => told.push(`changed ${keysOf(list)}`),
-      disturbed: () => told.push('disturbed'),
+      replaced: list => notifications.push(`replaced ${keysOf(list)}`),
+      changed: list => notifications.push(`changed ${keysOf(list)}`),
+      disturbed: () => notifications.push('disturbed'),
     },
   });
   const pauses: number[] = [];
   while (pauses.length < readings.length) {
     pauses.push(await follower.readOnce());
   }
-  return {table, told, pauses, lines: output.lines};
+  return {table, told: notifications, pauses, lines: output.lines};
 }
 
-test('reads whole once, then only what changed since', async t => {
+test('reads the whole table once, then only changes', async t => {
   const {table, told} = await follow([rows(5, 'a'), rows(7, 'b'), rows(9)]);
   t.deepEqual(table.calls, ['all', 'since 5', 'since 7']);
   t.deepEqual(told, ['replaced a', 'changed b']);
 });
 
-test('a history that is gone is made up for by a whole read', async t => {
+test('a whole read follows when the history is gone', async t => {
   const {table, told} = await follow([
     rows(5, 'a'),
     {kind: 'history_gone'},
@@ -78,10 +78,10 @@
   t.deepEqual(told, ['replaced a', 'replaced b']);
 });
 
-test('a whole read older than what is known changes nothing', async t => {
-  // The store dropped its history, and the read that makes up for it comes from
-  // a copy that lags. Taken as it is, keys withdrawn a moment ago would open
-  // again and endpoints that have left come back.
+test('a whole read older than the known version changes nothing', async t => {
+  // The store dropped its history, and the whole read that follows comes from a
+  // replica that lags. If it were applied, keys withdrawn a moment ago would be
+  // accepted again and endpoints that have left would come back.
   const {told, pauses} = await follow([
     rows(5, 'a'),
     {kind: 'history_gone'},
@@ -92,7 +92,7 @@
   t.true(pauses[2] > 0);
 });
 
-test('failures are waited out ever longer, and told once', async t => {
+test('pauses double with each failure, and an outage is logged once', async t => {
   const away: TableReading = {kind: 'unavailable', reason: 'timeout'};
   const {pauses, lines, told} = await follow([away, away, away, rows(1, 'a')]);
   t.deepEqual(pauses, [100, 200, 400, 0]);
@@ -101,23 +101,23 @@
   t.is(told.at(-1), 'replaced a');
 });
 
-test('after a whole read and after a change it waits for those that follow', async t => {
+test('after a whole read and after a change it pauses to gather further changes', async t => {
   // Guards against a poll for each endpoint that registers during a start.
   const {pauses} = await follow([rows(5, 'a'), rows(7, 'b'), rows(9)], 300);
   t.deepEqual(pauses, [300, 300, 0]);
 });
 
-test('the first poll after a start waits until a relay may be found', async t => {
-  // Guards against a poll of each of hundreds of instances that start together.
+test('the first poll after a start is delayed so that a relay can be found', async t => {
+  // Guards against a poll by each of hundreds of instances that start together.
   const gone: TableReading = {kind: 'history_gone'};
   const {pauses} = await follow([rows(5, 'a'), gone, rows(9, 'b')], 300, 900);
   t.deepEqual(pauses, [900, 0, 300]);
 });
 
-test('while the store is away it asks shortly', async t => {
-  // An instance is cut off for some seconds. A long poll that was sent into the
-  // cut would hang on for seconds after it has healed, and endpoints that have
-  // left meanwhile would get requests.
+test('polls are short while the store is unavailable', async t => {
+  // An instance is cut off for some seconds. A long poll sent meanwhile would
+  // hang for seconds after the connection is back, and endpoints that have left
+  // in the meantime would get requests.
   const away: TableReading = {kind: 'unavailable', reason: 'timeout'};
   const {table} = await follow([rows(5, 'a'), away, away, rows(6), rows(6)]);
   t.deepEqual(table.waits, [1000, 100, 100, 1000]);
--- a/packages/gateway/src/table_follower.ts
+++ b/packages/gateway/src/table_follower.ts
@@ -4,7 +4,7 @@
 import type {Logger} from '@snipestage/log/logger.js';
 import {StoreRecovery} from './store_recovery.js';
 
-/** A row that exists, or one that is gone. */
+/** A row that exists or was removed. */
 export interface FollowedRow {
   readonly key: string;
   readonly version: number;
@@ -12,18 +12,18 @@
   readonly data: Buffer | undefined;
 }
 
-/** What a read of a table brought. */
+/** Result of reading a table. */
 export type TableReading =
   | {
       readonly kind: 'rows';
       readonly rows: readonly FollowedRow[];
-      /** The store's version that the rows show. */
+      /** Version of the store that the rows reflect. */
       readonly version: number;
       readonly clock: StoreClockReading | undefined;
       /** Received from a relay, not from the store itself. */
       readonly isRelayed?: boolean;
     }
-  /** The history since the version asked for is no longer there. */
+  /** The store no longer has the history since the requested version. */
   | {readonly kind: 'history_gone'}
   | {readonly kind: 'unavailable'; readonly reason: string};
 
@@ -31,7 +31,9 @@
 export abstract class FollowedTable {
   abstract readonly name: string;
   abstract readAll(): Promise<TableReading>;
-  /** Answers as soon as something has changed, at the latest after the wait. */
+  /**
+   * Resolves as soon as something has changed, at the latest after the wait.
+   */
   abstract waitForChanges(
     sinceVersion: number,
     waitMs: number,
@@ -40,48 +42,48 @@
 
 /** Receives changes of a table. */
 export interface TableListener {
-  /** All rows of the table. */
+  /** Receives all rows of the table. */
   replaced(rows: readonly FollowedRow[]): void;
   changed(rows: readonly FollowedRow[]): void;
   /** The store did not answer, or only with a failure. */
   disturbed(): void;
 }
 
-/** How often a table is asked for. */
+/** Timing of the polls of a table. */
 export interface FollowPace {
   /** How long a poll may last. */
   readonly waitMs: number;
   /**
-   * Pause after a whole read and after changes: what comes meanwhile is in the
-   * next answer. Endpoints register one by one, and each change answers every
-   * instance's poll.
+   * Pause after a whole read and after changes; changes made meanwhile come in
+   * the next answer. Endpoints register one by one, and each change ends the
+   * long poll of every instance.
    */
   readonly gatherMs: number;
   /**
    * Pause after the first whole read (`gatherMs`): hundreds of instances that
-   * start together find a relay in this time and needn't poll.
+   * start together find a relay within it and need not poll.
    */
   readonly initialDelayMs?: number;
 }
 
-/** Rows that came, in the order of their versions. */
+/** Reading with rows, in the order of their versions. */
 export type RowsReading = Extract<TableReading, {kind: 'rows'}>;
 
-/** What a {@link TableFollower} is made from; defaults in the brackets. */
+/** Options of {@link TableFollower}; defaults in brackets. */
 export interface TableFollowerOptions {
   readonly table: FollowedTable;
   readonly listener: TableListener;
   readonly logger: Logger;
-  /** Asked before each poll. */
+  /** Called for the timing of each poll and each pause. */
   readonly pace: () => FollowPace;
   readonly onClock?: (reading: StoreClockReading) => void;
-  /** Called after each answer that was taken in, also one without rows. */
+  /** Called after each reading that was applied, also one without rows. */
   readonly onReading?: (reading: RowsReading, isWhole: boolean) => void;
-  /** Shared by all followers of a store (its own). */
+  /** Shared by all followers of a store (one for this follower alone). */
   readonly recovery?: StoreRecovery;
-  /** First pause after a failure (100 ms); doubles. */
+  /** First backoff after a failure (100 ms); doubles with each further one. */
   readonly firstBackoffMs?: number;
-  /** Longest pause (800 ms). */
+  /** Longest backoff (800 ms). */
   readonly maxBackoffMs?: number;
   /** At least 0 and below 1. */
   readonly random?: () => number;
@@ -89,12 +91,12 @@
 
 const DEFAULT_FIRST_BACKOFF_MS = 100;
 const DEFAULT_MAX_BACKOFF_MS = 800;
-/** Wait of a poll while the store is not known to be back. */
+/** Wait of a poll after a failure, until a call succeeds. */
 const PROBE_WAIT_MS = 100;
-/** Pause before a whole read is asked for again that was older than we are. */
+/** Pause after a reading that is older than the known version. */
 const STALE_READ_PAUSE_MS = 250;
 
-/** Owns the loop; what was learnt never goes back to an older version. */
+/** Owns the polling loop; never goes back to an older version. */
 export class TableFollower {
   private version: number | undefined;
   private minVersion = 0;
@@ -113,7 +115,10 @@
     return this.failures > 0;
   }
 
-  /** Version of the store that is known; undefined before the first read. */
+  /**
+   * Known version of the store; undefined before the first whole read, and
+   * while one is needed because the history is gone.
+   */
   get knownVersion(): number | undefined {
     return this.version;
   }
@@ -142,8 +147,8 @@
   /** @returns the pause before the next read. */
   async readOnce(): Promise<number> {
     const {table} = this.options;
-    // After a failure a short call: a long poll that was sent into a cut would
-    // hang for its whole wait after the cut has healed.
+    // After a failure the poll is short: a long poll sent while the network is
+    // cut off would hang for its whole wait after the connection is back.
     const waitMs = this.isDisturbed
       ? PROBE_WAIT_MS
       : this.options.pace().waitMs;
@@ -173,7 +178,7 @@
     }
   }
 
-  /** A whole read that is older than what is known must not replace it. */
+  /** Requests a whole read, which must not be older than the known version. */
   private rereadWhole(since: number | undefined): number {
     this.minVersion = Math.max(this.minVersion, since ?? 0);
     this.version = undefined;
@@ -223,7 +228,10 @@
     const firstMs = this.options.firstBackoffMs ?? DEFAULT_FIRST_BACKOFF_MS;
     const maxMs = this.options.maxBackoffMs ?? DEFAULT_MAX_BACKOFF_MS;
     const backoffMs = Math.min(maxMs, firstMs * 2 ** (this.failures - 1));
-    return this.recovery.lose(this, backoffMs * (0.5 + this.random() / 2));
+    return this.recovery.noteFailure(
+      this,
+      backoffMs * (0.5 + this.random() / 2),
+    );
   }
 
   private recover(): void {
@@ -233,6 +241,6 @@
       failures: this.failures,
     });
     this.failures = 0;
-    this.recovery.regain(this);
+    this.recovery.noteSuccess(this);
   }
 }
--- a/packages/gateway/src/usage_reporter.test.ts
+++ b/packages/gateway/src/usage_reporter.test.ts
@@ -15,7 +15,7 @@
 const LEASE = brandAs<LeaseName>('duties');
 const WINDOW_MS = 5000;
 
-/** A reporter that holds the lease under a token, at a time of day. */
+/** Creates a reporter that holds the lease under a token, at a time of day. */
 function makeReporter(
   platform: MemoryPlatform,
   token: number,
@@ -78,7 +78,7 @@
   );
 }
 
-test('the counts of all instances make one figure', async t => {
+test('the counts of all instances are reported as one figure', async t => {
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'a', 3);
@@ -88,10 +88,10 @@
   t.deepEqual(figures(platform), ['100: 7']);
 });
 
-test('a successor reports the same figure, whatever came in meanwhile', async t => {
-  // The holder sealed a window, reported it and was killed before it could tell
-  // anybody. Late counts came in. Another figure for the same window would make
-  // two bills of one.
+test('a successor reports the same figure despite counts that came later', async t => {
+  // The holder sealed and reported a window and was killed before it saved its
+  // progress; then late counts came in. A second figure for the same window
+  // would bill it twice.
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'a', 3);
@@ -105,9 +105,9 @@
   t.deepEqual(figures(platform), ['100: 3', '100: 3']);
 });
 
-test('a successor leaves out what is known to be reported', async t => {
-  // After an outage several windows are due within a second. Reports that were
-  // accepted long ago would push those behind them past their time.
+test('a successor skips windows that are known to be reported', async t => {
+  // After an outage several windows are due within a second. Repeating reports
+  // that were already accepted would make those behind them late.
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'a', 3);
@@ -120,12 +120,12 @@
   t.deepEqual(figures(platform), ['100: 3', '101: 5']);
 });
 
-test('a seal whose answer was lost is read back, not made anew', async t => {
+test('a seal whose answer was lost is read back, not written again', async t => {
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'a', 3);
   const reporter = makeReporter(platform, 1, 101 * WINDOW_MS + 4000);
-  // Windows before have no counts: a read and a scan each, then this one's.
+  // Earlier windows have no counts: a read and a scan for each of them first.
   for (let tick = 0; tick < 6; tick++) await reporter.tick();
   const transact = platform.transact.bind(platform);
   let lost = 0;
@@ -141,8 +141,8 @@
 });
 
 test('a holder whose fence has changed seals nothing', async t => {
-  // It was suspended while another took over. Its seal would fix a figure in the
-  // name of a lease that it no longer has.
+  // The holder was suspended while another instance took over. Its seal would
+  // fix a figure under a lease that it no longer holds.
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'a', 3);
@@ -153,9 +153,10 @@
   t.false(platform.rows.has('seals/100'));
 });
 
-test('an instance that still counts is waited for, but not for ever', async t => {
+test('an instance without final counts is awaited, but not for ever', async t => {
   // An instance is cut off from the store for some seconds, with forty requests
-  // that it could not write down. Sealed at once, they would never be billed.
+  // not yet written. If the window were sealed at once, they would never be
+  // billed.
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'a', 3);
@@ -168,9 +169,9 @@
   t.deepEqual(figures(platform), ['100: 4']);
 });
 
-test('counts that come in after an outage are waited for while more come', async t => {
-  // Guards against a window that is sealed by the first who write at the store's
-  // return: the holder looks at it for the first time when it is nearly due.
+test('the wait is extended while counts keep arriving after an outage', async t => {
+  // Guards against sealing a window with only the counts written first after an
+  // outage: the holder reads it for the first time when it is nearly due.
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'a', 3);
@@ -184,40 +185,41 @@
     () => atMs,
   );
   for (let tick = 0; tick < 12; tick++) await reporter.tick();
-  t.deepEqual(platform.reports, [], 'at the first look');
+  t.deepEqual(platform.reports, [], 'at the first read');
   await writeCounts(platform, 100, 'b', 5);
   await writeCounts(platform, 100, 'c', 1, false);
   atMs = 1001;
   await reporter.tick();
-  t.deepEqual(platform.reports, [], 'one more was there');
+  t.deepEqual(platform.reports, [], 'one more had arrived');
   atMs = 1600;
   await reporter.tick();
-  t.deepEqual(platform.reports, [], 'within the pause between two looks');
+  t.deepEqual(platform.reports, [], 'within the pause between two reads');
   atMs = 2002;
   await reporter.tick();
   t.deepEqual(figures(platform), ['100: 9']);
 });
 
-test('demand is told only when every instance has written', async t => {
-  // Some instances are cut off from the store for a while. The sum of the others
-  // would be taken for the demand of all; the engines would be split anew on all
-  // instances, and again after the cut, each time away from their caches.
+test('demand is published only when every instance has written', async t => {
+  // Some instances are cut off from the store for a while. If the sum of the
+  // others were taken for the total demand, all instances would split the
+  // engines anew, and again once the cut is over, each time away from the
+  // engines' caches.
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'a', 3);
   await writeCounts(platform, 100, 'b', 4);
   await writeCounts(platform, 101, 'a', 3);
-  const told: number[] = [];
+  const rowCounts: number[] = [];
   const reporter = makeReporter(platform, 1, 102 * WINDOW_MS + 9000, rows =>
-    told.push(rows.length),
+    rowCounts.push(rows.length),
   );
   for (let tick = 0; tick < 12; tick++) await reporter.tick();
   t.deepEqual(figures(platform), ['100: 7', '101: 3']);
-  t.deepEqual(told, [2]);
+  t.deepEqual(rowCounts, [2]);
 });
 
-test('of an instance that was killed what it had counted so far is billed', async t => {
-  // Guards against windows that are off by all that many killed instances held.
+test('partial counts of a killed instance are billed', async t => {
+  // Guards against windows that lack all counts of many killed instances.
   const platform = new MemoryPlatform();
   await takeFence(platform);
   await writeCounts(platform, 100, 'sound', 3);
@@ -228,13 +230,17 @@
   await platform.transact({checks: [], writes});
   const early = makeReporter(platform, 1, 101 * WINDOW_MS + 4000);
   for (let tick = 0; tick < 12; tick++) await early.tick();
-  t.deepEqual(figures(platform), [], 'the killed one might write its whole');
+  t.deepEqual(
+    figures(platform),
+    [],
+    'the killed instance might still write its final counts',
+  );
   const late = makeReporter(platform, 1, 101 * WINDOW_MS + 9000);
   for (let tick = 0; tick < 12; tick++) await late.tick();
   t.deepEqual(figures(platform), ['100: 5']);
 });
 
-test('counts of a reported window are removed, in as many steps as it takes', async t => {
+test('counts of a reported window are removed, in as many batches as needed', async t => {
   // Guards against a table that grows by hundreds of rows every few seconds.
   const platform = new MemoryPlatform();
   await takeFence(platform);
--- a/packages/gateway/src/usage_reporter.ts
+++ b/packages/gateway/src/usage_reporter.ts
@@ -1,4 +1,4 @@
-/** Reports the usage of each window once, with one figure. */
+/** Reports the usage of each window with a single, fixed figure. */
 
 import {fenceKey} from '@snipestage/agreement/lease_rows.js';
 import {findRow} from '@snipestage/agreement/table_effects.js';
@@ -29,7 +29,7 @@
   type CountsValue,
 } from './usage_rows.js';
 
-/** What a {@link UsageReporter} is made from. */
+/** Options of {@link UsageReporter}. */
 export interface UsageReporterOptions {
   readonly platform: Platform;
   readonly lease: Pick<LeaseTask, 'held'>;
@@ -40,37 +40,46 @@
   readonly dueAfterMs: number;
   readonly nowMs: () => number;
   readonly logger: Logger;
-  /** Called with all instances' rows, once each has written a window's counts. */
+  /**
+   * Called with all instances' rows, once each has written a window's counts.
+   */
   readonly onRows?: (rows: readonly CountsValue[]) => void;
 }
 
-/** How far the rows of a window are. */
+/** Whether all instances have written a window, or it is too late to wait. */
 type Readiness = 'waiting' | 'complete' | 'late';
 
 const TICK_MS = 500;
-/** Between two looks for counts that are missing: each is two priced calls. */
-const PAUSE_MS = 1000;
-/** Share of the time until a report is due in which all may have written. */
+/**
+ * Pause between reads while counts are missing: each takes two priced calls.
+ */
+const RESCAN_PAUSE_MS = 1000;
+/**
+ * Counts are first read this share of `dueAfterMs` after the end of their
+ * window, by when all instances may have written them.
+ */
 const COLLECT_SHARE = 0.2;
 /**
- * Share of it that waits for instances that have not: they may be cut off from
- * the store and write as soon as they are back. The rest is for the report.
+ * Share of `dueAfterMs` for which the reporter waits for instances that have
+ * not written: they may be cut off from the store and write as soon as they are
+ * back. The rest is left for the report.
  */
-const PATIENCE_SHARE = 0.65;
-/** The store takes so many rows in one transaction. */
-const MOST_ROWS = 90;
+const MAX_WAIT_SHARE = 0.65;
+/** The store accepts this many rows in one transaction. */
+const MAX_ROWS_PER_TRANSACTION = 90;
 /**
- * The same while more counts arrive, as after an outage of the store: a window
- * sealed at its return would lack what was counted meanwhile.
+ * Replaces {@link MAX_WAIT_SHARE} while more final counts arrive, as after an
+ * outage of the store: a window sealed as soon as the store is back would lack
+ * what was counted during the outage.
  */
-const LONG_PATIENCE_SHARE = 0.85;
-/** A new holder looks so far back for windows that were not reported. */
-const LOOK_BACK_DUES = 3;
+const EXTENDED_WAIT_SHARE = 0.85;
+/** A new holder looks back this many `dueAfterMs` for unreported windows. */
+const LOOK_BACK_DUE_TIMES = 3;
 
 /**
  * The figure is sealed in the store before it is sent, in a transaction that
  * checks the lease's fence. Later holders report the same seal, so that
- * no window ever gets two figures, and a repeat is the exact same.
+ * no window ever gets two figures, and a repeated report is identical.
  */
 export class UsageReporter {
   private timer: NodeJS.Timeout | undefined;
@@ -78,12 +87,12 @@
   private pausedUntilMs = 0;
   private nextWindow: WindowNumber | undefined;
   private tokenOfNext: number | undefined;
-  /** Number of final rows at the last look. */
+  /** Number of final rows when the counts were last read. */
   private seen:
     {readonly window: WindowNumber; readonly final: number} | undefined;
   /** Keys of the counts in the last seal. */
   private countedKeys: readonly string[] = [];
-  /** Who wrote the window before; they are expected to write again. */
+  /** Writers of the previous window, which are expected to write again. */
   private writers: ReadonlySet<string> = new Set();
 
   constructor(private readonly options: UsageReporterOptions) {}
@@ -96,7 +105,7 @@
     clearInterval(this.timer);
   }
 
-  /** One look for a window whose time has come. */
+  /** Seals and reports the next window once its counts may be read. */
   async tick(): Promise<void> {
     const {term, clock, nowMs} = this.options;
     const {token} = term;
@@ -119,7 +128,10 @@
     if (this.tokenOfNext !== token || this.nextWindow === undefined) {
       const next = await this.readProgress();
       if (next === undefined) return undefined;
-      const first = windowAt(epochMs - LOOK_BACK_DUES * dueAfterMs, windowMs);
+      const first = windowAt(
+        epochMs - LOOK_BACK_DUE_TIMES * dueAfterMs,
+        windowMs,
+      );
       this.nextWindow = Math.max(first, next) as WindowNumber;
       this.tokenOfNext = token;
     }
@@ -128,7 +140,7 @@
     return isReady ? this.nextWindow : undefined;
   }
 
-  /** @returns undefined when the store doesn't say. */
+  /** @returns undefined when the store is unavailable. */
   private async readProgress(): Promise<number | undefined> {
     const result = await this.options.platform.readRows([PROGRESS_KEY]);
     if (result.kind === 'unavailable') return undefined;
@@ -145,8 +157,12 @@
     const removals = this.countedKeys.map(key => ({key, value: null}));
     this.countedKeys = [];
     const writes = [{key: PROGRESS_KEY, value: next}, ...removals];
-    for (let begin = 0; begin < writes.length; begin += MOST_ROWS) {
-      const batch = writes.slice(begin, begin + MOST_ROWS);
+    for (
+      let begin = 0;
+      begin < writes.length;
+      begin += MAX_ROWS_PER_TRANSACTION
+    ) {
+      const batch = writes.slice(begin, begin + MAX_ROWS_PER_TRANSACTION);
       await this.options.platform.transact({checks: [], writes: batch});
     }
   }
@@ -178,20 +194,23 @@
     return fromCountsValue(findRow(result.rows, key).value);
   }
 
-  /** @returns undefined when the seal isn't certain; the next tick reads it. */
+  /**
+   * @returns undefined when the window isn't known to be sealed; a later tick
+   *   reads the seal first.
+   */
   private async seal(window: WindowNumber): Promise<UsageCounts | undefined> {
     const {platform, lease, leaseName, logger} = this.options;
     const result = await platform.scanRows(countsPrefix(window));
     const {held} = lease;
     if (result.kind === 'unavailable' || held === undefined) return undefined;
     const byWriter = latestByWriter(result.rows);
-    const readiness = this.judge(window, byWriter);
+    const readiness = this.assessReadiness(window, byWriter);
     if (readiness === 'waiting') return undefined;
     const values = [...byWriter.values()];
     const parts = values.map(fromCountsValue);
     if (parts.length === 0) return new Map();
-    // The demand of some of the instances would shift the split of the engines
-    // for all of them, and back again when the rest has written.
+    // Demand of only some instances would shift the split of the engines on all
+    // of them, and back again once the rest have written.
     if (readiness === 'complete') {
       this.options.onRows?.(values);
     }
@@ -213,27 +232,28 @@
     return total;
   }
 
-  /** Whether all instances have written, or it is too late to wait for the rest. */
-  private judge(
+  /** Judges whether to seal a window; pauses further reads if not. */
+  private assessReadiness(
     window: WindowNumber,
     byWriter: ReadonlyMap<string, CountsValue>,
   ): Readiness {
     const {clock, nowMs, windowMs, dueAfterMs} = this.options;
     const isFinal = (writer: string) => byWriter.get(writer)?.isFinal === true;
     const expected = [...byWriter.keys(), ...this.writers];
-    const isAllThere = expected.every(isFinal);
+    const isComplete = expected.every(isFinal);
     const endedAtMs = (window + 1) * windowMs;
     const waitedMs = clock.epochAt(nowMs()) - endedAtMs;
     const final = [...byWriter.keys()].filter(isFinal).length;
-    const stillCome = this.seen?.window !== window || final > this.seen.final;
+    const areStillArriving =
+      this.seen?.window !== window || final > this.seen.final;
     this.seen = {window, final};
-    const patience = stillCome ? LONG_PATIENCE_SHARE : PATIENCE_SHARE;
-    if (!isAllThere && waitedMs < patience * dueAfterMs) {
-      this.pausedUntilMs = nowMs() + PAUSE_MS;
+    const waitShare = areStillArriving ? EXTENDED_WAIT_SHARE : MAX_WAIT_SHARE;
+    if (!isComplete && waitedMs < waitShare * dueAfterMs) {
+      this.pausedUntilMs = nowMs() + RESCAN_PAUSE_MS;
       return 'waiting';
     }
     this.writers = new Set(byWriter.keys());
-    return isAllThere ? 'complete' : 'late';
+    return isComplete ? 'complete' : 'late';
   }
 
   private async report(
--- a/packages/gateway/src/usage_rows.ts
+++ b/packages/gateway/src/usage_rows.ts
@@ -1,4 +1,4 @@
-/** Rows that hold the counts of windows. */
+/** Rows that hold the usage counts of windows. */
 
 import type {RouteDemand} from '@snipestage/routing/demand_meter.js';
 import type {
@@ -11,9 +11,11 @@
 /** Value of a row of counts, and of a seal. */
 export interface CountsValue {
   readonly counts: Readonly<Record<string, number>>;
-  /** Written after the window's end: no more will come from this writer. */
+  /**
+   * Written at the window's end or the writer's stop: no more counts follow.
+   */
   readonly isFinal: boolean;
-  /** What the writer saw of each service's routes by then. */
+  /** Demand on each service's routes as the writer measured it by then. */
   readonly demands?: Readonly<Record<string, readonly RouteDemand[]>>;
 }
 
@@ -22,7 +24,7 @@
 const COUNTS_KEY = /^usage\/\d+\/[^/]+$/;
 
 /**
- * Key of what one life of an instance counted in a window.
+ * Key of the final counts of one incarnation of an instance in a window.
  *
  * @example
  * countsKey(window, 'akl-a-1.k3x9'); // 'usage/353445120/akl-a-1.k3x9'
@@ -33,7 +35,7 @@
 
 /**
  * Key of the partial counts of a running window. It differs from the key of the
- * final counts: a write by way of a relay, or one without an answer, may take
+ * final counts: a write through a relay, or one without an answer, may take
  * effect after a later one.
  *
  * @example
@@ -44,7 +46,7 @@
 }
 
 /**
- * Whether a key is one of counts, which relays write for their followers.
+ * Whether a key belongs to counts, which relays write for their followers.
  *
  * @example
  * isCountsKey('usage/353445120/akl-a-1.k3x9'); // true
@@ -53,7 +55,7 @@
   return typeof key === 'string' && COUNTS_KEY.test(key);
 }
 
-/** Start of the keys of all that was counted in a window. */
+/** Prefix of the keys of all counts of a window. */
 export function countsPrefix(window: WindowNumber): string {
   return `usage/${window}/`;
 }
@@ -83,22 +85,22 @@
   const latest = new Map<string, CountsValue>();
   for (const {key, value} of rows) {
     const name = key.slice(key.lastIndexOf('/') + 1);
-    const isWhole = !name.endsWith(PARTIAL);
-    const writer = isWhole ? name : name.slice(0, -PARTIAL.length);
-    if (value === null || (!isWhole && latest.has(writer))) continue;
+    const isFinalKey = !name.endsWith(PARTIAL);
+    const writer = isFinalKey ? name : name.slice(0, -PARTIAL.length);
+    if (value === null || (!isFinalKey && latest.has(writer))) continue;
     latest.set(writer, value as CountsValue);
   }
   return latest;
 }
 
-/** @returns undefined when the value is of another form. */
+/** @returns undefined when the value has another shape. */
 export function fromCountsValue(value: unknown): UsageCounts | undefined {
   const counts = (value as CountsValue | null)?.counts;
   if (typeof counts !== 'object' || counts === null) return undefined;
   return new Map(Object.entries(counts) as Array<[ClientAccountId, number]>);
 }
 
-/** Key of the first window that is not known to be reported. */
+/** Key of the row with the first window that is not known to be reported. */
 export const PROGRESS_KEY = 'progress/usage';
 
 /** Value of the row at {@link PROGRESS_KEY}. */
--- a/packages/gateway/src/usage_writer.test.ts
+++ b/packages/gateway/src/usage_writer.test.ts
@@ -13,10 +13,10 @@
 const WINDOW_MS = 5000;
 const SHOP = brandAs<ClientAccountId>('shop');
 const WINDOW = 200 as WindowNumber;
-/** The writer looks at its windows several times in it. */
+/** Long enough for several ticks of the writer. */
 const SOME_TICKS_MS = 700;
 
-/** A writer a second into a window, with one request counted. */
+/** Creates a writer one second into a window, with one request counted. */
 function makeWriter(changes: Partial<UsageWriterOptions> = {}) {
   const epochMs = WINDOW * WINDOW_MS + 1000;
   const clock = new AgreedClock(0, epochMs);
@@ -47,24 +47,25 @@
   await new Promise(done => setTimeout(done, durationMs));
 }
 
-test('counts of a window that runs go to the relay in a row of their own', async t => {
-  // Guards against counts that are gone with many instances killed at once.
-  const given: string[] = [];
+test('counts of the current window go to the relay in a separate row', async t => {
+  // Guards against losing the counts of many instances that are killed at once.
+  const batchedKeys: string[] = [];
   const {platform, writer} = makeWriter({
     hasBatchedWrites: () => true,
     writeBatched: async key => {
-      given.push(key);
+      batchedKeys.push(key);
       return true;
     },
   });
   await runFor(writer, SOME_TICKS_MS);
-  t.deepEqual(given, [partialCountsKey(WINDOW, 'one')]);
+  t.deepEqual(batchedKeys, [partialCountsKey(WINDOW, 'one')]);
   await writer.stop();
   t.deepEqual([...platform.rows.keys()], [countsKey(WINDOW, 'one')]);
 });
 
-test('a relay that fails costs no call for counts of a window that runs', async t => {
-  // Guards against dozens of instances that write alone when their relay is lost.
+test('a failed relay causes no direct write for counts of the current window', async t => {
+  // Guards against direct writes by dozens of instances when their relay is
+  // lost.
   const {platform, writer} = makeWriter({
     hasBatchedWrites: () => true,
     writeBatched: async () => false,
@@ -75,20 +76,22 @@
   t.is(platform.rows.size, 1);
 });
 
-test('nothing is written while the store is known to be away', async t => {
-  // Guards against a call of each instance every second of an outage.
-  let isAway = true;
-  const {platform, writer} = makeWriter({isStoreAway: () => isAway});
+test('nothing is written while the store is known to be unavailable', async t => {
+  // Guards against a call by each instance in every second of an outage.
+  let isUnavailable = true;
+  const {platform, writer} = makeWriter({
+    isStoreUnavailable: () => isUnavailable,
+  });
   await runFor(writer, SOME_TICKS_MS);
   t.is(platform.rows.size, 0);
-  isAway = false;
+  isUnavailable = false;
   await new Promise(done => setTimeout(done, SOME_TICKS_MS));
   t.is(platform.rows.size, 1);
   await writer.stop();
 });
 
-test('a write that failed says why', async t => {
-  // Guards against counts that are missing without a word in the logs.
+test('a failed write is logged with its reason', async t => {
+  // Guards against counts that are missing without a log line.
   const {platform, writer, output} = makeWriter();
   platform.losses.push('away');
   await runFor(writer, SOME_TICKS_MS);
--- a/packages/gateway/src/usage_writer.ts
+++ b/packages/gateway/src/usage_writer.ts
@@ -1,4 +1,4 @@
-/** Writes what this instance counted, so that the reporter can add it up. */
+/** Writes this instance's usage counts, which the reporter adds up. */
 
 import type {Logger} from '@snipestage/log/logger.js';
 import type {Platform} from '@snipestage/platform/platform.js';
@@ -16,34 +16,34 @@
   type CountsValue,
 } from './usage_rows.js';
 
-/** What a {@link UsageWriter} is made from. */
+/** Options of {@link UsageWriter}. */
 export interface UsageWriterOptions {
   readonly platform: Platform;
   readonly windows: UsageWindows;
   readonly clock: AgreedClock;
-  /** Unlike that of any other life of any instance. */
+  /** Unique among all incarnations of all instances. */
   readonly writer: string;
   readonly windowMs: number;
-  /** How often the window that runs is written. */
+  /** Interval at which the counts of the current window are written. */
   readonly writeEveryMs: () => number;
   readonly nowMs: () => number;
   readonly logger: Logger;
-  /** Writes a row with those of others; false: it has to be written alone. */
+  /** Writes a row in a batch; false: the row has to be written directly. */
   readonly writeBatched?: (key: string, value: unknown) => Promise<boolean>;
-  /** Nothing is written while the store is unavailable (never). */
-  readonly isStoreAway?: () => boolean;
+  /** Whether the store is unavailable; only a stop writes then (never). */
+  readonly isStoreUnavailable?: () => boolean;
   /** Whether a relay writes this instance's rows in batches. */
   readonly hasBatchedWrites?: () => boolean;
-  /** What this instance sees of each service's routes. */
+  /** Demand on each service's routes as this instance measures it. */
   readonly readDemands: () => CountsValue['demands'];
 }
 
-/** How often it looks for what is to be written. */
+/** Interval of checks for counts to be written. */
 const TICK_MS = 250;
-/** Windows are kept in memory for so long after their end. */
-const KEEP_WINDOWS = 6;
+/** Number of past windows whose counts are kept in memory. */
+const KEPT_WINDOW_COUNT = 6;
 
-/** Pause after a write that failed: the store is told to be away once. */
+/** Pause after a failed write, which limits warnings about the store. */
 const PAUSE_AFTER_FAILURE_MS = 1000;
 
 interface Written {
@@ -53,8 +53,8 @@
 }
 
 /**
- * A window that has ended is written at once; one that runs, now and then, so
- * that an instance that is killed takes little with it.
+ * Writes a window as soon as it has ended, and the current one at intervals, so
+ * that a killed instance loses few counts.
  */
 export class UsageWriter {
   private readonly written = new Map<WindowNumber, Written>();
@@ -77,11 +77,12 @@
   }
 
   private async tick(): Promise<void> {
-    const {nowMs, isStoreAway} = this.options;
-    const isPaused = nowMs() < this.pausedUntilMs || isStoreAway?.() === true;
+    const {nowMs, isStoreUnavailable} = this.options;
+    const isPaused =
+      nowMs() < this.pausedUntilMs || isStoreUnavailable?.() === true;
     if (this.isWriting || isPaused) return;
     this.isWriting = true;
-    // An instance without requests says so: the reporter would wait for it.
+    // An instance without requests writes too: the reporter would wait for it.
     this.options.windows.open(this.currentWindow());
     try {
       for (const window of this.options.windows.list()) {
@@ -101,7 +102,7 @@
     const isSame = (written?.total ?? 0) === total;
     if (this.hasEnded(window)) return !isSame || written?.isFinal !== true;
     const atMs = nowMs();
-    const lastAtMs = written?.atMs ?? this.firstLookAt(window, atMs);
+    const lastAtMs = written?.atMs ?? this.firstSeenAt(window, atMs);
     return !isSame && atMs - lastAtMs >= writeEveryMs();
   }
 
@@ -114,15 +115,15 @@
     return windowAt(clock.epochAt(nowMs()), windowMs);
   }
 
-  private readonly firstLook = new Map<WindowNumber, number>();
+  private readonly firstSeenAtMs = new Map<WindowNumber, number>();
 
-  private firstLookAt(window: WindowNumber, atMs: number): number {
-    const known = this.firstLook.get(window) ?? atMs;
-    this.firstLook.set(window, known);
+  private firstSeenAt(window: WindowNumber, atMs: number): number {
+    const known = this.firstSeenAtMs.get(window) ?? atMs;
+    this.firstSeenAtMs.set(window, known);
     return known;
   }
 
-  /** @returns whether the store has it. */
+  /** @returns false when the counts have to be written again. */
   private async write(window: WindowNumber): Promise<boolean> {
     const {windows, nowMs} = this.options;
     const counts = windows.read(window);
@@ -148,9 +149,9 @@
     const {writer, readDemands} = this.options;
     const key = countsKey(window, writer);
     const value = toCountsValue(counts, true, readDemands());
-    // An instance that stops can't wait for a batch.
+    // A stopping instance can't wait for a batch.
     const isBatched = !this.isStopping && (await this.writeBatched(key, value));
-    return isBatched || this.writeAlone(key, value);
+    return isBatched || this.writeDirectly(key, value);
   }
 
   private async writePartial(
@@ -161,7 +162,7 @@
     const key = partialCountsKey(window, writer);
     const value = toCountsValue(counts, false);
     // If the relay fails, the final counts follow soon anyway.
-    if (hasBatchedWrites?.() !== true) return this.writeAlone(key, value);
+    if (hasBatchedWrites?.() !== true) return this.writeDirectly(key, value);
     await this.writeBatched(key, value);
     return true;
   }
@@ -173,7 +174,10 @@
     return (await this.options.writeBatched?.(key, value)) ?? false;
   }
 
-  private async writeAlone(key: string, value: CountsValue): Promise<boolean> {
+  private async writeDirectly(
+    key: string,
+    value: CountsValue,
+  ): Promise<boolean> {
     const {platform, logger} = this.options;
     const result = await platform.transact({
       checks: [],
@@ -189,10 +193,10 @@
     const {windows} = this.options;
     const current = this.currentWindow();
     for (const window of windows.list()) {
-      if (window + KEEP_WINDOWS >= current) continue;
+      if (window + KEPT_WINDOW_COUNT >= current) continue;
       windows.forget(window);
       this.written.delete(window);
-      this.firstLook.delete(window);
+      this.firstSeenAtMs.delete(window);
     }
   }
 }
