--- a/packages/routing/src/agreed_clock.ts
+++ b/packages/routing/src/agreed_clock.ts
@@ -1,20 +1,24 @@
 /**
- * The time of day that all instances agree upon.
+ * A time of day that all instances share.
  *
  * A machine's time of day may jump by seconds and back. Usage counted by it
- * would land in the wrong window: the figures of two windows would be off, with
- * nothing but the bill to show it. The store has a steady clock that all see;
- * one row ties it to the time of day, once, and every instance counts by that.
+ * would land in the wrong window: the figures of two windows would be wrong,
+ * and only the bill would show it. All instances can read the store's monotonic
+ * clock. One row, written once, holds the offset from that clock to the time of
+ * day, and every instance counts usage by their sum.
  */
 
-/** A reading of the store's steady clock, between two of our own clock. */
+/** A reading of the store's monotonic clock, between two of our own clock. */
 export interface StoreClockReading {
   readonly storeMs: number;
   readonly sentAtMs: number;
   readonly receivedAtMs: number;
 }
 
-/** Before the tie is known it goes by the machine's own time of day at start. */
+/**
+ * Uses the machine's time of day at start until a reading of the store's clock
+ * and the shared offset are known.
+ */
 export class AgreedClock {
   private ownOffsetMs: number;
   private storeOffsetMs: number | undefined;
@@ -22,7 +26,7 @@
   private tieMs: number | undefined;
 
   /**
-   * @param nowMs our steady clock.
+   * @param nowMs our monotonic clock.
    * @param epochMs the machine's time of day at the same moment.
    */
   constructor(nowMs: number, epochMs: number) {
@@ -30,7 +34,7 @@
   }
 
   /**
-   * Takes in a reading; the one with the shortest way counts most.
+   * Records a reading; one with a longer round trip than the best is ignored.
    *
    * @example
    * clock.noteReading({storeMs, sentAtMs, receivedAtMs});
@@ -43,7 +47,9 @@
     this.storeOffsetMs = reading.storeMs - middleMs;
   }
 
-  /** Milliseconds to add to the store's clock, as the row has them. */
+  /**
+   * Sets the milliseconds to add to the store's clock, as read from the row.
+   */
   tie(tieMs: number): void {
     this.tieMs = tieMs;
   }
@@ -52,7 +58,7 @@
     return this.tieMs !== undefined && this.storeOffsetMs !== undefined;
   }
 
-  /** What this instance would write as the tie; undefined before a reading. */
+  /** The offset this instance would write; undefined before a reading. */
   proposeTie(): number | undefined {
     return this.storeOffsetMs === undefined
       ? undefined
@@ -60,7 +66,7 @@
   }
 
   /**
-   * The agreed time of day.
+   * The shared time of day.
    *
    * @example
    * windows.count(account, clock.epochAt(performance.now()));
--- a/packages/routing/src/agreed_demand.test.ts
+++ b/packages/routing/src/agreed_demand.test.ts
@@ -15,7 +15,7 @@
   };
 }
 
-test('the sum over all goes before what one instance sees', t => {
+test('the sum over all instances is preferred to own figures while valid', t => {
   const own = new DemandMeter();
   own.count(REPAIR, makeRoute(), makePrompt('a', 10, 10), 0);
   const agreed = new AgreedDemand({own, validForMs: 1000});
@@ -25,7 +25,7 @@
   t.is(agreed.read(REPAIR, 1000).length, 1);
 });
 
-test('demands add up, and their prompt sizes by requests', t => {
+test('demands add up, and prompt sizes are averaged by requests', t => {
   const total = sumDemands([
     [demand('a', 10, 100), demand('b', 5)],
     [demand('a', 30, 300)],
@@ -35,9 +35,9 @@
   t.is(total.length, 2);
 });
 
-test('only a change of shares is told, not one of volume', t => {
-  // Telling wakes every instance with a call each. Twice the traffic of the
-  // same mix splits the engines as before.
+test('only a change of shares is published, not one of volume', t => {
+  // Publishing costs a call on every instance. Twice the traffic of the same
+  // mix splits the engines as before.
   const before = [demand('a', 10), demand('b', 10)];
   t.false(hasMoved(before, [demand('a', 20), demand('b', 20)]));
   t.true(hasMoved(before, [demand('a', 20), demand('b', 10)]));
--- a/packages/routing/src/agreed_demand.ts
+++ b/packages/routing/src/agreed_demand.ts
@@ -1,14 +1,14 @@
-/** Demand over all instances, as one of them added it up for all. */
+/** Demand summed over all instances by one of them. */
 
 import type {ServiceId} from '@snipestage/types/ids.js';
 import {DemandSource, type RouteDemand} from './demand_meter.js';
 import type {RouteId} from './route.js';
 
-/** What a {@link AgreedDemand} is made from. */
+/** Options of {@link AgreedDemand}. */
 export interface AgreedDemandOptions {
-  /** What this instance sees itself, until it has heard of the whole. */
+  /** Demand seen by this instance; used while no valid sum is known. */
   readonly own: DemandSource;
-  /** How long a sum is gone by (60,000 ms): a dozen windows without one. */
+  /** How long a sum is valid (60,000 ms): a dozen windows without a new one. */
   readonly validForMs?: number;
 }
 
@@ -20,10 +20,10 @@
 }
 
 /**
- * Instances that go by the same figures split the engines alike. By their own
- * figures, a request or two of a route a second each, they disagree on some
- * engines, which then get long prompts from one and short pauses from another,
- * and the streams on them stutter.
+ * Instances that use the same figures split the engines in the same way. With
+ * their own figures, one or two requests of a route a second each, they would
+ * disagree on some engines, which then get long prompts from one instance and
+ * requests that need short pauses from another, and whose streams stutter.
  */
 export class AgreedDemand extends DemandSource {
   private readonly agreed = new Map<ServiceId, Agreed>();
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Takes in a sum over all instances.
+   * Records a sum over all instances.
    *
    * @example
    * agreed.learn(service, demands, nowMs);
@@ -59,7 +59,7 @@
 }
 
 /**
- * Adds up what several instances saw of a service's routes.
+ * Sums the demands that several instances measured for a service's routes.
  *
  * @example
  * const total = sumDemands([mine, theirs]);
@@ -91,7 +91,7 @@
 }
 
 /**
- * Whether shares have moved so far that others should hear of it.
+ * Whether shares of work have changed enough to be published.
  *
  * @example
  * if (hasMoved(published, now)) publish(now);
@@ -110,7 +110,7 @@
   });
 }
 
-/** Half an engine of a dozen: less would not change the split. */
+/** Half an engine of a dozen: a smaller change would not change the split. */
 const MIN_SHARE_CHANGE = 0.04;
 
 function totalWork(demands: readonly RouteDemand[]): number {
--- a/packages/routing/src/attempt_history.test.ts
+++ b/packages/routing/src/attempt_history.test.ts
@@ -34,7 +34,7 @@
   );
 }
 
-/** What one instance knows; its requests are decided as the gateway does. */
+/** One instance; decides on its requests as the gateway does. */
 class Instance {
   private readonly monitor = new EndpointMonitor();
   private readonly reach = new DataCentreReach();
@@ -53,7 +53,7 @@
     this.monitor.noteReportedLoad(any, load, 0);
   }
 
-  /** @returns connections that were refused; undefined: it was refused. */
+  /** @returns refused connections; undefined if the request was refused. */
   serve(
     endpoints: readonly ServingEndpoint[],
     isUp: (endpoint: ServingEndpoint) => boolean,
@@ -107,12 +107,12 @@
       known.serve([...local, ...remote], isUp, 1 + index),
     );
     t.false(refusals.includes(undefined), 'a request was refused');
-    t.true(refusals[0]! <= 2, 'the first request found out');
+    t.true(refusals[0]! <= 2, 'the first request meets at most two refusals');
     t.true(refusals.slice(2).every(count => count === 0));
   }
 });
 
-test('one refused connection does not drive a request from its data centre', t => {
+test('one refused connection does not move a request out of its data centre', t => {
   // Guards against needless traffic between data centres after one restart.
   const history = new AttemptHistory();
   const [one, two] = makeEndpoints(2, AKL_A);
@@ -122,7 +122,7 @@
   t.true(history.avoided.has(AKL_A));
 });
 
-test('an unanswered connection drives a request from its data centre at once', t => {
+test('a connection time-out moves a request out of its data centre at once', t => {
   // Guards against a second wait behind the same network partition.
   const history = new AttemptHistory();
   const [one] = makeEndpoints(1, AKL_A);
--- a/packages/routing/src/attempt_history.ts
+++ b/packages/routing/src/attempt_history.ts
@@ -1,21 +1,22 @@
-/** What one request has found out about endpoints and data centres. */
+/** Records the attempts of one request by endpoint and data centre. */
 
 import type {DataCentreId, EndpointId} from '@snipestage/types/ids.js';
 import type {Verdict} from '@snipestage/types/verdict.js';
 import type {ServingEndpoint} from './serving_endpoint.js';
 
-/** A failed attempt, as far as it counts for the next one. */
+/** What the next attempt needs to know of a failed one. */
 export interface AttemptFailure {
   readonly verdict: Verdict;
-  /** The endpoint got the request, whatever it made of it. */
+  /** The endpoint received the request, whether or not it ran it. */
   readonly hasArrived: boolean;
-  /** Nothing came back while the connection was opened. */
+  /** The connection attempt got no answer. */
   readonly hasTimedOut: boolean;
 }
 
 /**
  * Refused connections to endpoints of one data centre after which a request
- * goes to another. One refusal is a restart; two suggest an outage of all.
+ * goes to another. One refusal may be a restart; two suggest an outage of the
+ * whole data centre.
  */
 const REFUSALS_TO_AVOID = 2;
 
@@ -28,27 +29,27 @@
   private offerCount = 0;
   private unreachedCount = 0;
 
-  /** Endpoints that were asked, in that order. */
+  /** Endpoints that were tried, in that order. */
   get excluded(): ReadonlySet<EndpointId> {
     return this.tried;
   }
 
-  /** Data centres whose endpoints could not be reached. */
+  /** Data centres with a connection time-out or repeated refusals. */
   get avoided(): ReadonlySet<DataCentreId> {
     return this.avoidedCentres;
   }
 
-  /** Endpoints that may have run the request. */
+  /** Number of failed attempts that may have run the request. */
   get runs(): number {
     return this.runCount;
   }
 
-  /** Endpoints that got the request. */
+  /** Number of failed attempts in which the endpoint got the request. */
   get offers(): number {
     return this.offerCount;
   }
 
-  /** Endpoints to which no connection could be opened. */
+  /** Number of attempts for which no connection could be opened. */
   get unreached(): number {
     return this.unreachedCount;
   }
--- a/packages/routing/src/attempt_policy.test.ts
+++ b/packages/routing/src/attempt_policy.test.ts
@@ -34,36 +34,37 @@
 }
 
 test('a booking whose outcome is unknown is never sent again', t => {
-  // The connection broke after the booking had left. The shop's customer would
-  // be charged twice if it went to another endpoint.
+  // Guards against charging a customer twice: the connection breaks after the
+  // booking was sent, and a retry at another endpoint runs it again.
   for (const verdict of ['may_have_run', 'ran'] as const) {
     t.is(fail({route: BOOKING, verdict}), 'give_up');
     t.is(fail({route: QUOTE, verdict}), 'give_up');
   }
 });
 
-test('what certainly has not run may go to another endpoint', t => {
+test('a request that certainly has not run may go to another endpoint', t => {
   t.is(fail({route: BOOKING, verdict: 'not_run', runs: 0}), 'retry');
   t.is(fail({route: QUOTE, verdict: 'not_run', runs: 0}), 'retry');
 });
 
-test('what may be repeated goes on up to the attempts of its route', t => {
+test('a repeatable request is retried up to the attempts of its route', t => {
   t.is(fail({}), 'retry');
   t.is(fail({runs: 2}), 'give_up');
   t.is(fail({route: makeRoute()}), 'retry');
 });
 
-test('no endpoint left, no time left or enough offers end it', t => {
+test('a request is given up without endpoints, without time or after too many offers', t => {
   t.is(fail({untried: 0}), 'give_up');
   t.is(fail({leftMs: 10}), 'give_up');
   t.is(fail({verdict: 'not_run', runs: 0, offers: 4}), 'give_up');
   t.is(fail({verdict: 'not_run', runs: 0, unreached: 12}), 'give_up');
 });
 
-test('what an endpoint turned away comes out of the budget', t => {
-  // A third of the engines is replaced at once while the list lags. Each request
-  // meets two or three that answer that they are others by now. Seen: these
-  // didn't count, and engines got a quarter more than their callers had sent.
+test('a retry after a rejection is charged to the budget', t => {
+  // Guards against engines that get a quarter more requests than callers sent:
+  // a third of them is replaced at once while the list lags, each request meets
+  // two or three new ones that reject it, and these retries were outside the
+  // budget.
   const turnedAway = makeFailed({verdict: 'not_run', runs: 0});
   t.deepEqual(decideAfterFailure(turnedAway), {
     kind: 'retry',
@@ -75,9 +76,8 @@
   });
 });
 
-test('only what has not run is answered with the promise of it', t => {
-  // A caller that reads 503 books again. If the first booking had run, that
-  // would be the second.
+test('only a request that has not run is answered with 503', t => {
+  // Guards against double bookings: a caller that gets 503 books again.
   const why = {timedOut: false, retryAfterMs: 300};
   t.deepEqual(failureFor('not_run', why), {status: 503, retryAfterMs: 300});
   t.is(failureFor('may_have_run', why).status, 502);
--- a/packages/routing/src/attempt_policy.ts
+++ b/packages/routing/src/attempt_policy.ts
@@ -1,32 +1,32 @@
-/** What to do after an attempt has failed. */
+/** Decides whether to retry after a failed attempt. */
 
 import type {Verdict} from '@snipestage/types/verdict.js';
 import type {Route} from './route.js';
 
-/** Where a request stands after a failed attempt. */
+/** State of a request after a failed attempt. */
 export interface FailedAttempt {
   readonly route: Route;
   /** Of the attempt that failed. */
   readonly verdict: Verdict;
   /** Endpoints that may have run the request, this one included. */
   readonly runs: number;
-  /** Endpoints that got the request, whatever they made of it. */
+  /** Endpoints that received the request, whether or not they ran it. */
   readonly offers: number;
   /** Endpoints to which no connection could be opened. */
   readonly unreached: number;
-  /** Events of a stream that the caller has already. */
+  /** Events of a stream that the caller has already received. */
   readonly deliveredEvents: number;
-  /** Until the caller or the operator's limit gives up. */
+  /** Time until the caller's or the operator's limit. */
   readonly leftMs: number;
-  /** Endpoints that have not been asked yet. */
+  /** Endpoints that have not been tried yet. */
   readonly untried: number;
-  /** The endpoint got the request, whatever it made of it. */
+  /** The endpoint received the request, whether or not it ran it. */
   readonly hasArrived: boolean;
 }
 
 /** The next step. */
 export type AttemptDecision =
-  /** Ask another endpoint, if the budget has room where it is needed. */
+  /** Try another endpoint; where a budget is needed, only if it has room. */
   | {readonly kind: 'retry'; readonly needsBudget: boolean}
   | {readonly kind: 'give_up'};
 
@@ -37,11 +37,11 @@
  * takes a round trip and costs the endpoint nothing.
  */
 const MAX_UNREACHED = 12;
-/** Less time than this is no offer to an endpoint. */
-const MIN_LEFT_MS = 30;
+/** With less time left than this no further endpoint is tried. */
+const MIN_REMAINING_MS = 30;
 
 /**
- * Whether another endpoint may be asked.
+ * Whether another endpoint may be tried.
  *
  * A request that certainly did not run may go to another endpoint. One that may
  * have run goes on only if it may be repeated, or is a stream that can be
@@ -55,10 +55,11 @@
   if (isExhausted(failed)) return {kind: 'give_up'};
   const mayRun = mayRunAgain(route) && runs < route.maxAttempts;
   if (verdict !== 'not_run' && !mayRun) return {kind: 'give_up'};
-  // An endpoint that turns a request away has spent work on it all the same.
-  // Where many are replaced at once most answer that they are others by now;
-  // left out of the budget, these alone make a service's traffic half as much
-  // again. Without a connection nothing has arrived, and nothing is spent.
+  // An endpoint that rejects a request has spent work on it all the same. When
+  // many endpoints are replaced at once, most addresses belong to new ones that
+  // reject the request; outside the budget, these retries alone would add half
+  // to a service's traffic. Without a connection nothing has arrived, so the
+  // endpoint has spent nothing.
   return {kind: 'retry', needsBudget: hasArrived};
 }
 
@@ -68,7 +69,7 @@
     untried === 0 ||
     offers >= MAX_OFFERS ||
     unreached >= MAX_UNREACHED ||
-    leftMs < MIN_LEFT_MS
+    leftMs < MIN_REMAINING_MS
   );
 }
 
@@ -88,8 +89,8 @@
 }
 
 /**
- * The status that tells the truth: 503 promises that the request has not run
- * and never will, 502 and 504 promise nothing.
+ * The status of the final answer: 503 guarantees that the request has not run
+ * and never will; 502 and 504 guarantee nothing.
  *
  * @param verdict the worst over all attempts.
  * @example
--- a/packages/routing/src/capacity_plan.test.ts
+++ b/packages/routing/src/capacity_plan.test.ts
@@ -43,9 +43,9 @@
     .map(({count}) => count);
 }
 
-test('the plan bears the loss of any one data centre of cheap endpoints', t => {
-  // All cheap endpoints of a data centre are reclaimed at once. What is left
-  // has to carry the demand, or the callers wait until new ones have booted.
+test('the plan covers the loss of the cheap endpoints of any one data centre', t => {
+  // Guards against callers that wait until new endpoints have booted: all cheap
+  // endpoints of a data centre are reclaimed at once, and too few are left.
   fc.assert(
     fc.property(
       fc.integer({min: 2, max: 5}),
@@ -100,11 +100,11 @@
   );
 });
 
-test('two reclaims one after the other are made up for by regular endpoints', t => {
-  // The cheap endpoints of two data centres are reclaimed within five seconds,
-  // and no more are to be had there. Seen: the same was asked for again and again
-  // while a third of the endpoints carried everything, and a quarter of the most
-  // urgent callers left.
+test('regular endpoints replace those of two reclaims in succession', t => {
+  // Guards against losing a quarter of the most urgent callers: the cheap
+  // endpoints of two data centres are reclaimed within five seconds, none are
+  // available there, and the same order is repeated while a third of the
+  // endpoints carries everything.
   const usual = plan();
   t.deepEqual(countsOf(usual, true), [7, 7, 7]);
   t.deepEqual(countsOf(usual, false), [1, 1, 1]);
@@ -114,15 +114,15 @@
   ]);
   const scarce = plan({cheapLeft, neededNow: 16});
   // As many cheap ones as the third data centre may have, then regular ones
-  // where they cost least; the cheap ones are still asked for.
+  // where they cost least; the cheap ones are still ordered.
   t.deepEqual(countsOf(scarce, true), [11, 7, 7]);
   t.deepEqual(countsOf(scarce, false), [1, 1, 3]);
 });
 
-test('regular endpoints take the room that cheap ones leave', t => {
-  // Operators allow a data centre no more than it usually runs. Seen: nothing
-  // was ordered in place of what was reclaimed, since what was asked for in vain
-  // counted as if it were there.
+test('regular endpoints take the room of unavailable cheap ones', t => {
+  // Guards against orders that count as running though they can't be fulfilled:
+  // with a limit of what a data centre usually runs, no replacement was
+  // ordered.
   const scaling = {...LIMITS, maxCount: 8};
   const cheapLeft = new Map([[C, 0]]);
   const targets = plan({scaling, needed: 13, neededNow: 21, cheapLeft});
@@ -133,23 +133,24 @@
   t.deepEqual(countsOf(all, false), [1, 1, 7]);
 });
 
-test('a reclaim that leaves enough is not made up for', t => {
-  // Regular endpoints cost several times as much. Ordered for room that a calm
-  // day doesn't use, they would double its price for nothing.
+test('a reclaim that leaves enough endpoints causes no order', t => {
+  // Regular endpoints cost several times as much. Ordered for headroom that a
+  // day of usual load doesn't use, they would double its price for nothing.
   t.deepEqual(plan({cheapLeft: new Map([[B, 0]]), neededNow: 10}), plan());
-  const calm = plan({
+  const lowDemand = plan({
     cheapLeft: new Map([
       [B, 0],
       [C, 0],
     ]),
     neededNow: 6,
   });
-  t.deepEqual(countsOf(calm, false), [1, 1, 1]);
+  t.deepEqual(countsOf(lowDemand, false), [1, 1, 1]);
 });
 
-test('a burst orders more at once, cheap ones first', t => {
-  // Three times the usual load comes for some seconds. What is ordered when the
-  // first requests wait serves half of it; endpoints take seconds to boot.
+test('a burst orders more endpoints at once, cheap ones first', t => {
+  // Guards against late orders: three times the usual load comes for some
+  // seconds, and endpoints ordered when the first requests wait take seconds to
+  // boot and serve only half of it.
   const targets = plan({neededNow: 30});
   t.deepEqual(countsOf(targets, true), [9, 9, 9]);
   t.deepEqual(countsOf(targets, false), [1, 1, 1]);
@@ -157,7 +158,7 @@
   t.deepEqual(countsOf(most, true), [11, 11, 11]);
 });
 
-test('no data centre gets more than its limit, whatever is missing', t => {
+test('no data centre exceeds its limit, whatever the demand', t => {
   fc.assert(
     fc.property(
       fc.integer({min: 0, max: 60}),
@@ -179,9 +180,9 @@
   t.pass();
 });
 
-test('a peak is provided for until it has faded', t => {
-  // Waves of one burst come seconds apart. Endpoints that were given back between
-  // two of them would be booting when the second one comes.
+test('the need after a peak declines slowly', t => {
+  // Waves of one burst come seconds apart. Endpoints released between two of
+  // them would still be booting when the second one comes.
   const need = new EngineNeed({halfLifeMs: 5000});
   const at = (requests: number, nowMs: number): number =>
     need.update({requests, batchSize: 32}, nowMs);
@@ -192,7 +193,8 @@
 });
 
 test('load pattern: a data centre is evacuated under its usual demand', t => {
-  // Guards against callers that wait because nobody replaces evacuated engines.
+  // Guards against callers that wait because evacuated engines are not
+  // replaced.
   const usual = plan();
   const targets = plan({evacuated: new Set([A])});
   t.false(
@@ -210,7 +212,7 @@
 });
 
 test('load pattern: one of two open data centres also loses its cheap engines', t => {
-  // Guards against a reclaim during an evacuation that is not made up for.
+  // Guards against a reclaim during an evacuation without replacements.
   const targets = plan({
     needed: 10,
     neededNow: 12,
@@ -223,8 +225,9 @@
   t.true(serving >= 12);
 });
 
-test('load pattern: cheap endpoints can be had again where regular ones stand in', t => {
-  // Guards against a data centre that gives back all that serves there at once.
+test('load pattern: cheap endpoints become available again where regular ones replace them', t => {
+  // Guards against a data centre that releases all its serving endpoints at
+  // once.
   const full = {needed: 18, neededNow: 5};
   const at = (regular: number, cheap: number) =>
     plan({...full, present: new Map([[A, {regular, cheap}]])})
@@ -232,13 +235,13 @@
       .map(({count}) => count);
   const [, usualCheap] = at(1, 11);
   t.is(usualCheap, 11);
-  t.deepEqual(at(11, 1), [5, 7], 'half of the places serve on');
-  t.deepEqual(at(5, 1), [5, 7], 'and wait for the others to boot');
+  t.deepEqual(at(11, 1), [5, 7], 'half of the endpoints keep serving');
+  t.deepEqual(at(5, 1), [5, 7], 'and stay until the others have booted');
   t.deepEqual(at(5, 7), [1, 11], 'then the rest is replaced');
 });
 
-test('nothing is held back before the first request', t => {
-  // Guards against paying for regular endpoints that nobody uses yet.
+test('regular endpoints are not kept before the first request', t => {
+  // Guards against paying for regular endpoints that no request uses yet.
   const present = new Map([[A, {regular: 12, cheap: 0}]]);
   const [first] = plan({needed: 18, present});
   t.is(first.count, 1);
--- a/packages/routing/src/capacity_plan.ts
+++ b/packages/routing/src/capacity_plan.ts
@@ -1,4 +1,4 @@
-/** How many endpoints of each kind every data centre should run. */
+/** Plans how many endpoints of each kind each data centre should run. */
 
 import type {DataCentreId, ServiceId} from '@snipestage/types/ids.js';
 import type {ScalingLimits} from './route.js';
@@ -12,7 +12,7 @@
   readonly count: number;
 }
 
-/** What a plan is made from. */
+/** Inputs of {@link planCapacity}. */
 export interface CapacityInput {
   readonly service: ServiceId;
   readonly scaling: ScalingLimits;
@@ -20,16 +20,16 @@
   readonly dataCentres: readonly DataCentreId[];
   /** Endpoints that the usual demand needs. */
   readonly needed: number;
-  /** Endpoints that the demand of these seconds needs (0). */
+  /** Endpoints that the current demand needs (0). */
   readonly neededNow?: number;
   /**
-   * Where no more cheap endpoints are to be had at the moment, those that are
-   * still there.
+   * Number of cheap endpoints still running, for data centres in which no more
+   * of them are available at the moment.
    */
   readonly cheapLeft?: ReadonlyMap<DataCentreId, number>;
   /** Data centres that get no requests at the moment (none). */
   readonly evacuated?: ReadonlySet<DataCentreId>;
-  /** Endpoints that each data centre runs and keeps (none). */
+  /** Endpoints of each data centre that are not leaving (none). */
   readonly present?: ReadonlyMap<DataCentreId, PresentEndpoints>;
 }
 
@@ -39,33 +39,37 @@
   readonly cheap: number;
 }
 
-/** Both kinds of one data centre. */
+/** Planned counts of both kinds in one data centre. */
 interface Share {
   readonly dataCentre: DataCentreId;
-  /** Undefined where as many as are ordered can be had. */
+  /** Undefined where as many cheap endpoints as are ordered are available. */
   readonly cheapLeft: number | undefined;
   regular: number;
   cheap: number;
 }
 
 /**
- * Regular endpoints carry what has to go on when the cheap ones of one data
- * centre are taken away at once; cheap ones, a fraction of the price, carry the
- * rest and the peaks.
+ * Plans the endpoints of a service.
  *
- * All cheap endpoints of a data centre vanish together. Spread evenly over the
- * data centres, a reclaim takes one share of them. The regular floor is one
- * endpoint in each data centre, or what the limits ask for.
+ * Regular endpoints carry the load that must continue when the cheap ones of
+ * one data centre are reclaimed at once; cheap ones, at a fraction of the
+ * price, carry the rest and the peaks.
  *
- * What a data centre can't give at the moment is ordered of the others: cheap
- * ones for the usual room, regular ones, several times as dear, for what the
- * demand of the moment still lacks. They are given back once the cheap ones can
- * be had again. Left out, two reclaims one after the other leave a third of the
- * endpoints to carry everything.
+ * All cheap endpoints of a data centre are reclaimed together. As they are
+ * spread evenly over the data centres, a reclaim takes one share of them. At
+ * least one regular endpoint runs in each data centre, or as many as the limits
+ * require.
  *
- * An evacuated data centre gets no order: its endpoints stay as they are, and the
- * others make up for them. Given back, they would have to boot again when it is
- * restored.
+ * Endpoints that are unavailable in one data centre at the moment are ordered
+ * in the others: cheap ones for the usual headroom, and regular ones, which
+ * cost several times as much, for the part of the current demand that is still
+ * not covered. These are released once cheap ones are available again. Without
+ * such replacements, two reclaims in succession leave a third of the endpoints
+ * to carry everything.
+ *
+ * No target is set for an evacuated data centre: its endpoints stay as they
+ * are, and the others replace their capacity. If its endpoints were released,
+ * they would have to boot again when it is restored.
  *
  * @example
  * const targets = planCapacity(input);
@@ -87,24 +91,28 @@
 }
 
 /**
- * Endpoints above what operators began with. Bursts of one class come to about
- * twice its usual within a second, and an endpoint takes seconds to boot, so
- * that the room has to be there before; cheap ones cost about a fifth.
+ * Planned endpoints relative to {@link CapacityInput.needed}, the number that
+ * operators started with. Bursts of one class reach about twice its usual rate
+ * within a second, and an endpoint takes seconds to boot, so the headroom has
+ * to exist beforehand; cheap endpoints cost about a fifth of regular ones.
  */
-const BURST_HEADROOM = 1.6;
+const BURST_HEADROOM_FACTOR = 1.6;
 
 function countWanted({needed}: CapacityInput): number {
-  return Math.ceil(needed * BURST_HEADROOM);
+  return Math.ceil(needed * BURST_HEADROOM_FACTOR);
 }
 
-/** Enough for the usual demand when one data centre's cheap ones are away. */
+/**
+ * Covers the usual demand even if one data centre loses its cheap endpoints; an
+ * evacuated data centre counts as that one.
+ */
 function planUsual(input: CapacityInput): Share[] {
   const {scaling, dataCentres, cheapLeft, evacuated} = input;
   const open = dataCentres.filter(id => evacuated?.has(id) !== true);
   const regular = Math.max(1, scaling.minCount);
   const missing = countWanted(input) - regular * open.length;
-  const lossProof = Math.max(1, dataCentres.length - 1);
-  const cheapEach = Math.ceil(Math.max(0, missing) / lossProof);
+  const centresAfterLoss = Math.max(1, dataCentres.length - 1);
+  const cheapEach = Math.ceil(Math.max(0, missing) / centresAfterLoss);
   const cheap = Math.max(0, Math.min(cheapEach, scaling.maxCount - regular));
   return open.map(dataCentre => ({
     dataCentre,
@@ -114,7 +122,7 @@
   }));
 }
 
-/** Endpoints that will serve, not those that are asked for in vain. */
+/** Endpoints that will serve, without ordered ones that are unavailable. */
 function countExpected(shares: readonly Share[]): number {
   return shares.reduce(
     (sum, {regular, cheap, cheapLeft}) =>
@@ -123,7 +131,7 @@
   );
 }
 
-/** One more in each data centre in turn, as long as there is room. */
+/** Adds one cheap endpoint to each data centre in turn while there is room. */
 function addCheap(
   shares: readonly Share[],
   missing: number,
@@ -143,8 +151,9 @@
 }
 
 /**
- * Where they cost least. Where cheap ones can't be had, regular ones take their
- * room, but for one that is still asked for: it shows when they can be had again.
+ * Adds regular endpoints where they cost least. They take the room of cheap
+ * ones that are unavailable, except for one that is still ordered: it shows
+ * when cheap ones are available again.
  */
 function addRegular(
   shares: readonly Share[],
@@ -167,14 +176,17 @@
   }
 }
 
-/** Share of a data centre's endpoints that serves while the rest is replaced. */
+/**
+ * Share of a data centre's endpoints that serves while the rest is replaced.
+ */
 const KEPT_SHARE = 0.5;
 
 /**
- * Load pattern: cheap endpoints can be had again in a data centre that regular
- * ones have filled meanwhile. Given back all at once, it would serve with next to
- * none until the cheap ones have booted, and a data centre that is cut off then
- * refuses its callers. So they are replaced in two steps.
+ * Load pattern: cheap endpoints become available again in a data centre that
+ * regular ones have filled meanwhile. If all regular ones were released at
+ * once, hardly any endpoint would serve there until the cheap ones have booted,
+ * and a data centre that is cut off then refuses its callers. So they are
+ * replaced in two steps.
  */
 function keepUntilReplaced(
   share: Share,
@@ -193,7 +205,7 @@
   return regular + cheap < maxCount;
 }
 
-/** Endpoints of a kind that a data centre runs and keeps. */
+/** Counts the endpoints of a kind in a data centre that are not leaving. */
 export function countPresent(
   endpoints: readonly ServingEndpoint[],
   target: Omit<CapacityTarget, 'count'>,
--- a/packages/routing/src/connect_patience.test.ts
+++ b/packages/routing/src/connect_patience.test.ts
@@ -1,25 +1,25 @@
 import test from 'ava';
 import {ConnectPatience} from './connect_patience.js';
 
-function learnt(...tookMs: number[]): number {
+function timeoutAfter(...tookMs: number[]): number {
   const patience = new ConnectPatience();
   for (const each of tookMs) patience.note(each);
   return patience.timeoutMs;
 }
 
-test('before the first connection the longest time is waited', t => {
-  t.is(learnt(), 350);
+test('before the first connection the timeout is the maximum', t => {
+  t.is(timeoutAfter(), 350);
 });
 
-test('on quick links little is waited', t => {
-  // Every request that is sent behind a cut waits out the whole timeout. At a
-  // third of a second short requests come too late by that alone.
+test('on fast links the timeout is the minimum', t => {
+  // Every request to a data centre that is cut off waits for the whole timeout.
+  // A third of a second alone makes short requests late.
   const quick = Array.from({length: 50}, (_, index) => 2 + (index % 4));
-  t.is(learnt(...quick), 100);
+  t.is(timeoutAfter(...quick), 100);
 });
 
-test('a slow machine waits longer, within bounds', t => {
+test('slow handshakes raise the timeout up to the maximum', t => {
   const slow = Array.from({length: 50}, (_, index) => 60 + (index % 2) * 60);
-  t.true(learnt(...slow) > 150);
-  t.is(learnt(900, 900, 900), 350);
+  t.true(timeoutAfter(...slow) > 150);
+  t.is(timeoutAfter(900, 900, 900), 350);
 });
--- a/packages/routing/src/connect_patience.ts
+++ b/packages/routing/src/connect_patience.ts
@@ -1,10 +1,10 @@
-/** How long to wait for a connection before another endpoint is asked. */
+/** Connect timeout after which another endpoint is tried. */
 
-/** What a {@link ConnectPatience} is made from; defaults in the brackets. */
+/** Options of {@link ConnectPatience}; defaults in brackets. */
 export interface ConnectPatienceOptions {
-  /** (100 ms): well above what a busy process of ours loses on its timers. */
+  /** (100 ms): well above the timer delays of a busy instance. */
   readonly minMs?: number;
-  /** (350 ms): also where nothing is known yet. */
+  /** (350 ms): also used before the first connection. */
   readonly maxMs?: number;
 }
 
@@ -13,14 +13,14 @@
 /** Weights and factor of RFC 6298, section 2, for retransmission timers. */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
-const DEVIATIONS = 4;
+const DEVIATION_FACTOR = 4;
 
 /**
- * Learns how long handshakes take, as TCP learns its retransmission timeout. On
- * links of some milliseconds a handshake that takes a tenth of a second has lost
- * a packet, which is sent again after a second; a request that has to begin
- * within 300 ms can still do so elsewhere. A slow machine sees slow handshakes
- * and waits longer.
+ * Estimates the connect timeout from handshake times, as TCP does its
+ * retransmission timeout. On links of some milliseconds a handshake that takes
+ * a tenth of a second has lost a packet, which is retransmitted after a second;
+ * a request that has to begin within 300 ms can still do so at another
+ * endpoint. A slow machine sees slow handshakes and gets a longer timeout.
  */
 export class ConnectPatience {
   private meanMs: number | undefined;
@@ -33,7 +33,7 @@
     this.maxMs = options.maxMs ?? DEFAULT_MAX_MS;
   }
 
-  /** A connection stood after so long. */
+  /** Records how long a connection took to open. */
   note(tookMs: number): void {
     if (this.meanMs === undefined) {
       this.meanMs = tookMs;
@@ -51,7 +51,7 @@
    */
   get timeoutMs(): number {
     if (this.meanMs === undefined) return this.maxMs;
-    const learntMs = this.meanMs + DEVIATIONS * this.deviationMs;
+    const learntMs = this.meanMs + DEVIATION_FACTOR * this.deviationMs;
     return Math.min(this.maxMs, Math.max(this.minMs, learntMs));
   }
 }
--- a/packages/routing/src/crash_watch.ts
+++ b/packages/routing/src/crash_watch.ts
@@ -2,7 +2,7 @@
 
 import type {EndpointId, Fingerprint} from '@snipestage/types/ids.js';
 
-/** What a {@link CrashWatch} is made from; default in the brackets. */
+/** Options of {@link CrashWatch}; default in brackets. */
 export interface CrashWatchOptions {
   /**
    * An endpoint that breaks off answers and can't be reached within this time
@@ -19,11 +19,12 @@
 }
 
 /**
- * A request that crashes each endpoint that runs it comes again and empties a
- * data centre, one endpoint at a time. A broken answer alone is no crash:
- * networks lose answers of sound endpoints too, and whoever sends the same
- * request twice would be refused. Only an endpoint that then refuses
- * connections, or begins a new life, has crashed.
+ * Finds the requests that were running on an endpoint when it crashed. A
+ * request that crashes each endpoint that runs it, and is repeated, takes down
+ * a data centre one endpoint at a time. A broken answer alone is no crash:
+ * networks lose answers of healthy endpoints too, and a caller that sends the
+ * same request twice would be refused. Only an endpoint that then refuses
+ * connections, or starts a new incarnation, has crashed.
  */
 export class CrashWatch {
   private readonly broken = new Map<EndpointId, BrokenRequest[]>();
@@ -40,15 +41,15 @@
     this.broken.set(id, requests);
   }
 
-  /** The endpoint answered: what broke off before was no crash. */
+  /** The endpoint answered: earlier broken answers were no crash. */
   noteSound(id: EndpointId): void {
     this.broken.delete(id);
   }
 
   /**
-   * The endpoint refused a connection or began a new life.
+   * The endpoint refused a connection or started a new incarnation.
    *
-   * @returns the requests that were there when it crashed; empty if none.
+   * @returns the requests whose answers broke off shortly before; may be empty.
    * @example
    * const suspects = watch.confirm(endpoint.id, nowMs);
    */
--- a/packages/routing/src/data_centre_reach.test.ts
+++ b/packages/routing/src/data_centre_reach.test.ts
@@ -12,9 +12,9 @@
 const ONE = brandAs<EndpointId>('one');
 const TWO = brandAs<EndpointId>('two');
 
-test('two endpoints out of reach tell of their whole data centre', t => {
-  // A data centre is cut off. Every request that is sent there waits a third of
-  // a second for a connection that never comes, and callers see it.
+test('two unreachable endpoints mark their whole data centre as cut off', t => {
+  // Guards against requests to a data centre that is cut off: each of them
+  // waits a third of a second for a connection that never opens.
   const reach = new DataCentreReach({pauseMs: 500});
   reach.noteUnreached(AKL_A, ONE, 0);
   reach.noteUnreached(AKL_A, ONE, 10);
@@ -22,20 +22,20 @@
   reach.noteUnreached(AKL_A, TWO, 20);
   t.true(reach.isCut(AKL_A, 519));
   t.false(reach.isCut(AKL_A, 520));
-  // The next try fails as well; those under way meanwhile tell nothing new.
+  // The next trial fails as well; failures during the pause change nothing.
   reach.noteUnreached(AKL_A, ONE, 600);
   reach.noteUnreached(AKL_A, TWO, 700);
   t.true(reach.isCut(AKL_A, 1599));
   t.false(reach.isCut(AKL_A, 1600));
 });
 
-test('after the pause one request tries the way, and the others go elsewhere', t => {
-  // Dozens of requests arrive while the first of them finds out that the data
-  // centre is still cut off; each of them would wait as long.
+test('after the pause one request is a trial, and the others go elsewhere', t => {
+  // Guards against dozens of requests that arrive during the trial and would
+  // wait as long when the data centre is still cut off.
   const reach = new DataCentreReach({pauseMs: 500});
   reach.noteUnreached(AKL_A, ONE, 0);
   reach.noteTrial(AKL_A, 10);
-  t.false(reach.isCut(AKL_A, 11), 'one endpoint alone tells nothing');
+  t.false(reach.isCut(AKL_A, 11), 'one endpoint alone is no evidence');
   reach.noteUnreached(AKL_A, TWO, 20);
   reach.noteTrial(AKL_A, 600);
   t.true(reach.isCut(AKL_A, 601));
@@ -43,7 +43,7 @@
   t.false(reach.isCut(AKL_A, 602));
 });
 
-test('one that is reached clears its data centre', t => {
+test('a reached endpoint clears its data centre', t => {
   const reach = new DataCentreReach();
   reach.noteUnreached(AKL_A, ONE, 0);
   reach.noteReached(AKL_A);
@@ -51,7 +51,7 @@
   t.false(reach.isCut(AKL_A, 10));
 });
 
-test('when nothing else is left, a data centre held for cut is tried', t => {
+test('when nothing else is left, a data centre counted as cut off is tried', t => {
   const reach = new DataCentreReach();
   reach.noteUnreached(AKL_A, ONE, 0);
   reach.noteUnreached(AKL_A, TWO, 0);
@@ -68,9 +68,9 @@
   t.is(findUsable(endpoints, request, {monitor, reach}).length, 2);
 });
 
-test('a request that found no way into a data centre goes to another', t => {
-  // Both of its tries would be lost on endpoints behind the same cut.
-  const beliefs = {
+test('a request that could not reach a data centre goes to another', t => {
+  // Guards against two attempts at endpoints behind the same partition.
+  const placementState = {
     monitor: new EndpointMonitor(),
     reach: new DataCentreReach(),
   };
@@ -87,6 +87,6 @@
     nowMs: 1,
   };
   const near = [makeEndpoint('one'), makeEndpoint('two')];
-  t.deepEqual(findUsable([...near, far], request, beliefs), [far]);
-  t.deepEqual(findUsable(near, request, beliefs), [near[1]]);
+  t.deepEqual(findUsable([...near, far], request, placementState), [far]);
+  t.deepEqual(findUsable(near, request, placementState), [near[1]]);
 });
--- a/packages/routing/src/data_centre_reach.ts
+++ b/packages/routing/src/data_centre_reach.ts
@@ -1,14 +1,14 @@
-/** Notices that a whole data centre can't be reached from here. */
+/** Detects that a whole data centre can't be reached from this instance. */
 
 import type {DataCentreId, EndpointId} from '@snipestage/types/ids.js';
 
-/** What a {@link DataCentreReach} is made from; defaults in the brackets. */
+/** Options of {@link DataCentreReach}; defaults in brackets. */
 export interface DataCentreReachOptions {
   /** Endpoints in a row that could not be reached (2): one may be down. */
   readonly afterEndpoints?: number;
   /** Endpoints in a row that refused a connection (3): several may restart. */
   readonly afterRefusals?: number;
-  /** How long its endpoints are left alone before one is tried (600 ms). */
+  /** How long its endpoints get no requests before one is tried (600 ms). */
   readonly pauseMs?: number;
   /** The pause doubles up to this (2,400 ms): cuts last for seconds. */
   readonly maxPauseMs?: number;
@@ -18,8 +18,8 @@
 const DEFAULT_AFTER_REFUSALS = 3;
 const DEFAULT_PAUSE_MS = 600;
 const DEFAULT_MAX_PAUSE_MS = 2400;
-/** A trial has failed by then: connections are waited for no longer. */
-const TRIAL_MS = 350;
+/** A trial has failed by then: it is the longest connect timeout. */
+const TRIAL_TIMEOUT_MS = 350;
 
 interface Reach {
   readonly unreached: Set<EndpointId>;
@@ -31,14 +31,14 @@
 }
 
 /**
- * When the way to a data centre is cut, each of its endpoints has to be found
- * unreachable by a request of its own, which waits out a whole connect timeout
- * for that. After two in a row without an answer from there, all of them count as
- * unreachable; after a pause, which doubles, the next request tries again.
+ * When a data centre is cut off, finding each of its endpoints unreachable
+ * would cost one request each that waits for a whole connect timeout. After two
+ * endpoints in a row without a connection, all of them count as unreachable;
+ * after a pause, which doubles each time, the next request tries again.
  *
  * When all endpoints of a data centre go down at once, their machines refuse
  * connections, and the list still names them for seconds. Refusals come back
- * within milliseconds, so that a few more of them are waited for.
+ * within milliseconds, so a few more of them are needed.
  */
 export class DataCentreReach {
   private readonly centres = new Map<DataCentreId, Reach>();
@@ -54,22 +54,22 @@
     this.maxPauseMs = options.maxPauseMs ?? DEFAULT_MAX_PAUSE_MS;
   }
 
-  /** An endpoint there gave a connection. */
+  /** A connection to an endpoint of the data centre was opened. */
   noteReached(dataCentre: DataCentreId): void {
     this.centres.delete(dataCentre);
   }
 
   /**
-   * A request is sent there. Where the data centre was held for cut, this one
-   * tries the way for all: others that come before it is known go elsewhere.
+   * A request is sent to the data centre. If that is suspected to be cut off,
+   * this request is a trial: until its result is known, others go elsewhere.
    */
   noteTrial(dataCentre: DataCentreId, nowMs: number): void {
     const reach = this.centres.get(dataCentre);
     if (reach === undefined || !this.isSuspected(reach)) return;
-    reach.trialUntilMs = nowMs + TRIAL_MS;
+    reach.trialUntilMs = nowMs + TRIAL_TIMEOUT_MS;
   }
 
-  /** No connection to an endpoint there. */
+  /** A connection to an endpoint of the data centre timed out. */
   noteUnreached(
     dataCentre: DataCentreId,
     endpoint: EndpointId,
@@ -80,7 +80,7 @@
     this.suspect(reach, nowMs);
   }
 
-  /** An endpoint there refused a connection. */
+  /** An endpoint of the data centre refused a connection. */
   noteRefused(
     dataCentre: DataCentreId,
     endpoint: EndpointId,
@@ -92,6 +92,8 @@
   }
 
   /**
+   * Whether the data centre gets no requests for now.
+   *
    * @example
    * const reachable = endpoints.filter(e => !reach.isCut(e.dataCentre, nowMs));
    */
@@ -116,9 +118,9 @@
   }
 
   private suspect(reach: Reach, nowMs: number): void {
-    // Requests that were under way when it was held for cut are no new tries.
-    const isNews = nowMs >= reach.cutUntilMs;
-    if (!this.isSuspected(reach) || !isNews) return;
+    // Failures of requests sent before the pause began are no new evidence.
+    const isPauseOver = nowMs >= reach.cutUntilMs;
+    if (!this.isSuspected(reach) || !isPauseOver) return;
     reach.cutUntilMs = nowMs + reach.nextPauseMs;
     reach.nextPauseMs = Math.min(this.maxPauseMs, 2 * reach.nextPauseMs);
   }
--- a/packages/routing/src/demand_meter.ts
+++ b/packages/routing/src/demand_meter.ts
@@ -1,15 +1,15 @@
-/** How much work the routes of a service bring, as one instance sees it. */
+/** Work that the routes of a service cause, as measured by one instance. */
 
 import type {ServiceId} from '@snipestage/types/ids.js';
 import {workOf, type Prompt} from './prompt.js';
 import type {Route, RouteId} from './route.js';
 
-/** What a {@link DemandMeter} is made from; defaults in the brackets. */
+/** Options of {@link DemandMeter}; defaults in brackets. */
 export interface DemandMeterOptions {
   /**
-   * Half-life of what was seen (15,000 ms). An instance sees a request or two
-   * of a class a second; over less time its shares waver by a quarter, and
-   * instances disagree on which engines serve which routes.
+   * Half-life of the measured demand (15,000 ms). An instance sees one or two
+   * requests of a class a second; over less time its shares vary by a quarter,
+   * and instances disagree on which engines serve which routes.
    */
   readonly halfLifeMs?: number;
 }
@@ -18,29 +18,29 @@
 
 interface Demand {
   route: Route;
-  /** Faded sums over requests. */
+  /** Sums over requests, decayed by the half-life. */
   work: number;
   requests: number;
   promptTokens: number;
   atMs: number;
 }
 
-/** Faded demand of a route. */
+/** Demand of a route, decayed by the half-life. */
 export interface RouteDemand {
   readonly route: RouteId;
   readonly pauseTargetMs: number | undefined;
-  /** Prompt tokens and their equivalents, a second. */
+  /** Prompt tokens and their equivalents a second. */
   readonly workPerS: number;
   readonly requestsPerS: number;
   readonly meanPromptTokens: number;
 }
 
-/** Where placements learn what the routes of a service bring. */
+/** Source from which placements read the demand of the routes of a service. */
 export abstract class DemandSource {
   abstract read(service: ServiceId, nowMs: number): readonly RouteDemand[];
 }
 
-/** Fades by half-life; times are of one clock that does not go back. */
+/** Measures decaying demand; times are of one monotonic clock. */
 export class DemandMeter extends DemandSource {
   private readonly demands = new Map<ServiceId, Map<RouteId, Demand>>();
   private readonly halfLifeMs: number;
@@ -63,25 +63,25 @@
     nowMs: number,
   ): void {
     const demand = this.of(service, route, nowMs);
-    this.fade(demand, nowMs);
+    this.decay(demand, nowMs);
     demand.route = route;
     demand.requests += 1;
     demand.work += prompt === undefined ? 1 : workOf(prompt, true);
     demand.promptTokens += prompt?.tokens ?? 0;
   }
 
-  /** Services that had requests lately. */
+  /** Services that have had requests. */
   listServices(): readonly ServiceId[] {
     return [...this.demands.keys()];
   }
 
-  /** Demand of each route of a service that had requests lately. */
+  /** Demand of each route of a service that has had requests. */
   read(service: ServiceId, nowMs: number): readonly RouteDemand[] {
     const routes = this.demands.get(service);
     if (routes === undefined) return [];
     const perS = (Math.LN2 * 1000) / this.halfLifeMs;
     return [...routes.values()].map(demand => {
-      this.fade(demand, nowMs);
+      this.decay(demand, nowMs);
       return {
         route: demand.route.id,
         pauseTargetMs: demand.route.pauseTargetMs,
@@ -93,7 +93,7 @@
   }
 
   /**
-   * Requests of each route, the latest in full and earlier ones faded.
+   * Requests of each route, earlier ones decayed by the half-life.
    *
    * @example
    * const counts = meter.countRecent(service, nowMs);
@@ -101,7 +101,7 @@
   countRecent(service: ServiceId, nowMs: number): ReadonlyMap<RouteId, number> {
     const counts = new Map<RouteId, number>();
     for (const demand of this.demands.get(service)?.values() ?? []) {
-      this.fade(demand, nowMs);
+      this.decay(demand, nowMs);
       counts.set(demand.route.id, demand.requests);
     }
     return counts;
@@ -117,7 +117,7 @@
     return demand;
   }
 
-  private fade(demand: Demand, nowMs: number): void {
+  private decay(demand: Demand, nowMs: number): void {
     const share = 0.5 ** ((nowMs - demand.atMs) / this.halfLifeMs);
     demand.work *= share;
     demand.requests *= share;
--- a/packages/routing/src/duties.test.ts
+++ b/packages/routing/src/duties.test.ts
@@ -11,9 +11,9 @@
 import {SuspensionWatch} from './suspension_watch.js';
 import {sumCounts, UsageWindows, windowAt} from './usage_windows.js';
 
-test('instances whose times of day differ count by one clock', t => {
-  // The time of day of one machine jumps by two seconds. Its requests would be
-  // billed in the wrong window, and two bills would be wrong.
+test('instances whose times of day differ share one time', t => {
+  // Guards against usage in the wrong window: the time of day of one machine is
+  // wrong by seconds.
   const right = new AgreedClock(0, 1_000_000);
   const wrong = new AgreedClock(0, 1_002_400);
   const reading = {storeMs: 500, sentAtMs: 10, receivedAtMs: 14};
@@ -26,7 +26,7 @@
   t.true(Math.abs(right.epochAt(100) - 1_000_100) < 5);
 });
 
-test('the reading with the shortest way counts', t => {
+test('the reading with the shortest round trip counts', t => {
   const clock = new AgreedClock(0, 0);
   clock.noteReading({storeMs: 102, sentAtMs: 0, receivedAtMs: 4});
   clock.noteReading({storeMs: 900, sentAtMs: 10, receivedAtMs: 510});
@@ -34,7 +34,7 @@
   t.is(clock.epochAt(10), 110);
 });
 
-test('a suspension shows by the time of day', t => {
+test('a jump of the time of day shows a suspension', t => {
   const watch = new SuspensionWatch(0, 1000);
   t.false(watch.hasJumped(5000, 6010));
   t.true(watch.hasJumped(5001, 9000));
@@ -42,8 +42,8 @@
 });
 
 test('a broken answer alone is no crash', t => {
-  // A network loses every second answer of a sound endpoint for a while. Callers
-  // that ask again would be refused as if they had crashed it.
+  // Guards against refusing callers that repeat a request because a network
+  // loses answers of a healthy endpoint.
   const watch = new CrashWatch({confirmWithinMs: 1000});
   const one = brandAs<EndpointId>('one');
   const request = brandAs<Fingerprint>('f');
@@ -68,7 +68,7 @@
   t.is(sumCounts([one.read(window), two.read(window)]).get(shop), 3);
 });
 
-test('the more are refused, the later the next is told to return', t => {
+test('the more requests are refused, the longer is the delay of the next', t => {
   const delay = new RefusalDelay({minMs: 100, maxMs: 3000});
   for (let count = 0; count < 20; count++) delay.noteServed(0);
   const first = delay.adviseMs(0);
--- a/packages/routing/src/endpoint_directory.test.ts
+++ b/packages/routing/src/endpoint_directory.test.ts
@@ -14,9 +14,9 @@
   return directory.findServing(REPAIR, nowMs).map(({id}) => id);
 }
 
-test('a leaving endpoint gets nothing from the moment it is known', t => {
-  // An endpoint is about to go away for good. A request sent to it now may be
-  // cut in the middle when it does.
+test('an endpoint gets nothing once it is known to be leaving', t => {
+  // Guards against answers that break off: a request is sent to an endpoint
+  // that is about to stop.
   const directory = new EndpointDirectory();
   directory.apply([{kind: 'listed', endpoint: ONE}], 0);
   t.deepEqual(idsAt(directory, 0), ['one']);
@@ -24,17 +24,17 @@
   t.deepEqual(idsAt(directory, 1), []);
 });
 
-test('a removed row ends its endpoint at once in calm times', t => {
+test('a removed row removes its endpoint at once while the store works', t => {
   const directory = new EndpointDirectory();
   directory.apply([{kind: 'listed', endpoint: ONE}], 0);
   directory.apply([{kind: 'removed', id: ONE.id}], 5000);
   t.deepEqual(idsAt(directory, 5000), []);
 });
 
-test('rows that lapse in an outage of the store keep their endpoints', t => {
-  // The store was away and expired the rows that nobody could renew. The
-  // endpoints are alive and write theirs again in a moment; refusing meanwhile
-  // would turn each outage into two seconds of refusals.
+test('endpoints whose rows expire in an outage of the store are kept for a while', t => {
+  // Guards against two seconds of refusals after each outage: the store expired
+  // rows that could not be renewed, and endpoints that are alive write them
+  // again shortly afterwards.
   const directory = new EndpointDirectory();
   directory.replace([ONE], 0);
   directory.noteDisturbance(9000);
@@ -43,10 +43,10 @@
   t.deepEqual(idsAt(directory, 11_300), []);
 });
 
-test('an endpoint that left during a cut gets nothing for long after it', t => {
-  // An instance was cut off and the store was not. Endpoints drained and left
-  // meanwhile; kept for as long as lapsed ones from the moment they are missed,
-  // they would get requests that break off.
+test('an endpoint that left during a partition gets nothing soon after it', t => {
+  // Guards against requests that break off at endpoints which drained and left
+  // while this instance was cut off and the store was not. They would get them
+  // if missing rows were kept from the moment at which they are found missing.
   const directory = new EndpointDirectory();
   directory.replace([ONE], 0);
   directory.noteDisturbance(9000);
@@ -58,7 +58,7 @@
   t.deepEqual(idsAt(directory, 12_001), []);
 });
 
-test('a row that came back in time stays', t => {
+test('an endpoint whose row comes back in time is kept', t => {
   const directory = new EndpointDirectory();
   directory.replace([ONE], 0);
   directory.noteDisturbance(9000);
@@ -75,7 +75,7 @@
   t.is(directory.find(ONE.id), undefined);
 });
 
-test('a row that can not be read names no endpoint; the others hold', t => {
+test('an unreadable row removes its endpoint alone', t => {
   const directory = new EndpointDirectory();
   const two = makeEndpoint('two');
   directory.replace([ONE, two], 0);
--- a/packages/routing/src/endpoint_directory.ts
+++ b/packages/routing/src/endpoint_directory.ts
@@ -1,4 +1,4 @@
-/** The endpoints that may get requests, from the changes of their list. */
+/** Keeps the endpoints that may get requests, from changes of their list. */
 
 import type {
   DataCentreId,
@@ -12,54 +12,54 @@
   | {readonly kind: 'listed'; readonly endpoint: ServingEndpoint}
   /** Its row is gone. */
   | {readonly kind: 'removed'; readonly id: EndpointId}
-  /** Its row can't be read: it names no endpoint to use. */
+  /** Its row can't be parsed; the endpoint is removed. */
   | {readonly kind: 'unreadable'; readonly id: EndpointId};
 
-/** What a {@link EndpointDirectory} is made from; defaults in the brackets. */
+/** Options of {@link EndpointDirectory}; defaults in brackets. */
 export interface EndpointDirectoryOptions {
   /**
-   * How long after the store last failed a vanished row counts as lapsed rather
-   * than removed (2,300 ms). The store expires rows that could not be renewed;
-   * endpoints write theirs again within two seconds of its return. Counted from
-   * the failure and not from when the row was missed: to an instance that was cut
-   * off, endpoints that have left look the same, and they must not get requests
-   * for long once it is back.
+   * How long after the store's last failure a missing row counts as expired
+   * rather than removed (2,300 ms). The store expires rows that could not be
+   * renewed; endpoints write theirs again within two seconds of its return.
+   * Counted from the failure and not from when the row was found missing: to an
+   * instance that was cut off, endpoints that have left look the same, and they
+   * must not get requests for long once it is back.
    */
-  readonly keepVanishedMs?: number;
+  readonly keepMissingMs?: number;
 }
 
-const DEFAULT_KEEP_VANISHED_MS = 2300;
+const DEFAULT_KEEP_MISSING_MS = 2300;
 
 /**
  * Keeps endpoints by service.
  *
- * A row that vanishes in calm times means that its endpoint has left, and it
- * gets nothing from then on. After an outage of the store all rows may have
- * lapsed while the endpoints are alive; without a delay, an instance would
- * refuse everything for two seconds after each outage.
+ * While the store works, a missing row means that its endpoint has left, and it
+ * gets no more requests. After an outage of the store all rows may have expired
+ * while the endpoints are alive; without a delay, an instance would refuse
+ * everything for two seconds after each outage.
  */
 export class EndpointDirectory {
   private readonly endpoints = new Map<EndpointId, ServingEndpoint>();
-  private readonly vanished = new Set<EndpointId>();
+  private readonly missing = new Set<EndpointId>();
   private evacuated: ReadonlySet<DataCentreId> = new Set();
   private byService = new Map<ServiceId, ServingEndpoint[]>();
   private disturbedAtMs = Number.NEGATIVE_INFINITY;
-  private readonly keepVanishedMs: number;
+  private readonly keepMissingMs: number;
 
   constructor(options: EndpointDirectoryOptions = {}) {
-    this.keepVanishedMs = options.keepVanishedMs ?? DEFAULT_KEEP_VANISHED_MS;
+    this.keepMissingMs = options.keepMissingMs ?? DEFAULT_KEEP_MISSING_MS;
   }
 
-  /** When an endpoint last came or went. */
+  /** When the list was last updated. */
   changedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** The store of the list failed to answer, or answered with a failure. */
+  /** The store of the list did not answer, or answered with an error. */
   noteDisturbance(nowMs: number): void {
     this.disturbedAtMs = nowMs;
   }
 
   /**
-   * Takes in changes in their order.
+   * Applies changes in order.
    *
    * @example
    * directory.apply([{kind: 'listed', endpoint}], nowMs);
@@ -71,7 +71,7 @@
   }
 
   /**
-   * Takes in the whole list; what isn't in it has vanished.
+   * Replaces the whole list; endpoints that are not in it count as missing.
    *
    * @example
    * directory.replace(endpoints, nowMs);
@@ -79,7 +79,7 @@
   replace(endpoints: readonly ServingEndpoint[], nowMs: number): void {
     const listed = new Set(endpoints.map(({id}) => id));
     for (const id of this.endpoints.keys()) {
-      if (!listed.has(id)) this.vanish(id, nowMs);
+      if (!listed.has(id)) this.handleMissing(id, nowMs);
     }
     for (const endpoint of endpoints) this.list(endpoint);
     this.index();
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Sets the data centres that an operator has evacuated. Their endpoints get no
-   * new requests until they are restored.
+   * Sets the data centres that an operator has evacuated. Their endpoints get
+   * no new requests until they are restored.
    *
    * @example
    * directory.setEvacuated(new Set([dataCentre]));
@@ -114,7 +114,7 @@
    * const candidates = directory.findServing(service, nowMs);
    */
   findServing(service: ServiceId, nowMs: number): readonly ServingEndpoint[] {
-    this.dropLapsed(nowMs);
+    this.removeExpired(nowMs);
     return this.byService.get(service) ?? [];
   }
 
@@ -122,7 +122,7 @@
     return this.endpoints.get(id);
   }
 
-  /** All that are listed, leaving ones too. */
+  /** All listed endpoints, including those that are leaving. */
   readAll(): readonly ServingEndpoint[] {
     return [...this.endpoints.values()];
   }
@@ -133,7 +133,7 @@
         this.list(change.endpoint);
         return;
       case 'removed':
-        this.vanish(change.id, nowMs);
+        this.handleMissing(change.id, nowMs);
         return;
       case 'unreadable':
         this.remove(change.id);
@@ -142,38 +142,38 @@
   }
 
   private list(endpoint: ServingEndpoint): void {
-    this.vanished.delete(endpoint.id);
+    this.missing.delete(endpoint.id);
     this.endpoints.set(endpoint.id, endpoint);
   }
 
-  private vanish(id: EndpointId, nowMs: number): void {
+  private handleMissing(id: EndpointId, nowMs: number): void {
     const endpoint = this.endpoints.get(id);
     if (endpoint === undefined) return;
-    if (this.mayHaveLapsed(nowMs) && !endpoint.isLeaving) this.vanished.add(id);
+    if (this.mayHaveExpired(nowMs) && !endpoint.isLeaving) this.missing.add(id);
     else this.remove(id);
   }
 
-  private mayHaveLapsed(nowMs: number): boolean {
-    return nowMs - this.disturbedAtMs < this.keepVanishedMs;
+  private mayHaveExpired(nowMs: number): boolean {
+    return nowMs - this.disturbedAtMs < this.keepMissingMs;
   }
 
-  private dropLapsed(nowMs: number): void {
-    if (this.vanished.size === 0 || this.mayHaveLapsed(nowMs)) return;
-    for (const id of this.vanished) this.remove(id);
+  private removeExpired(nowMs: number): void {
+    if (this.missing.size === 0 || this.mayHaveExpired(nowMs)) return;
+    for (const id of this.missing) this.remove(id);
     this.index();
   }
 
   private remove(id: EndpointId): void {
-    this.vanished.delete(id);
+    this.missing.delete(id);
     this.endpoints.delete(id);
   }
 
   private index(): void {
     this.byService = new Map();
     for (const endpoint of this.endpoints.values()) {
-      const isClosed =
+      const isExcluded =
         endpoint.isLeaving || this.evacuated.has(endpoint.dataCentre);
-      if (isClosed) continue;
+      if (isExcluded) continue;
       const others = this.byService.get(endpoint.service);
       if (others === undefined) {
         this.byService.set(endpoint.service, [endpoint]);
--- a/packages/routing/src/endpoint_monitor.test.ts
+++ b/packages/routing/src/endpoint_monitor.test.ts
@@ -4,7 +4,7 @@
 
 const ONE = brandAs<EndpointId>('one');
 
-test('an endpoint that can not be reached is left alone, then tried again', t => {
+test('an unreachable endpoint gets nothing for a pause, then is tried again', t => {
   const monitor = new EndpointMonitor({firstBackoffMs: 100, maxBackoffMs: 300});
   monitor.note(ONE, 'unreachable', 0);
   t.true(monitor.isDown(ONE, 99));
@@ -19,14 +19,14 @@
   t.false(monitor.isDown(ONE, 800));
 });
 
-test('failures fade, so that no endpoint is starved for ever', t => {
+test('the share of failures decays, so that no endpoint is excluded for ever', t => {
   const monitor = new EndpointMonitor({failureHalfLifeMs: 1000});
   for (let count = 0; count < 10; count++) monitor.note(ONE, 'failed', 0);
   t.true(monitor.failureShare(ONE, 0) > 0.9);
   t.true(monitor.failureShare(ONE, 4000) < 0.1);
 });
 
-test('a told load counts the requests of others, and fades', t => {
+test('a reported load counts the requests of others, and decays', t => {
   const monitor = new EndpointMonitor({loadHalfLifeMs: 1000});
   monitor.begin(ONE, 1, 0);
   monitor.noteLoad(ONE, {running: 5, waiting: 2, capacity: 8}, 0);
--- a/packages/routing/src/endpoint_monitor.ts
+++ b/packages/routing/src/endpoint_monitor.ts
@@ -1,7 +1,7 @@
 /**
- * What an instance believes of each endpoint, from its own traffic alone: load,
- * failures and whether it can be reached. Lists and health checks lag or lie;
- * the answers to our own requests do neither.
+ * Tracks the load, failures and reachability of each endpoint from the traffic
+ * of this instance, and loads that other instances have shared. Lists and
+ * health checks lag or are wrong; answers to requests are neither.
  */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
@@ -15,26 +15,26 @@
 
 /** How an attempt ended, as far as it shows the endpoint's health. */
 export type EndpointSign =
-  /** Answered, whatever the status, as a sound endpoint would. */
+  /** Answered as a healthy endpoint would, whatever the status. */
   | 'answered'
-  /** Its own failure: an error status, a broken or spoiled answer. */
+  /** A failure of the endpoint: an error status, a broken or invalid answer. */
   | 'failed'
-  /** Full. */
+  /** Rejected because the endpoint is full. */
   | 'rejected'
-  /** No connection: it got nothing. */
+  /** No connection: the endpoint received nothing. */
   | 'unreachable'
-  /** It took the request and was silent for longer than it may be. */
+  /** It received the request and sent nothing for longer than allowed. */
   | 'silent';
 
-/** What a {@link EndpointMonitor} is made from; defaults in the brackets. */
+/** Options of {@link EndpointMonitor}; defaults in brackets. */
 export interface EndpointMonitorOptions {
   /** Half-life of the failure share (2,000 ms). */
   readonly failureHalfLifeMs?: number;
-  /** First pause after it could not be reached (250 ms); doubles. */
+  /** First pause after a failure to connect (250 ms); doubles. */
   readonly firstBackoffMs?: number;
-  /** Longest pause (2,000 ms): endpoints are back after some seconds. */
+  /** Longest pause (2,000 ms): endpoints restart within some seconds. */
   readonly maxBackoffMs?: number;
-  /** Half-life of a reported load (1,500 ms): others add to it unseen. */
+  /** Half-life of a reported load (1,500 ms): other instances change it. */
   readonly loadHalfLifeMs?: number;
 }
 
@@ -42,18 +42,18 @@
 const DEFAULT_FIRST_BACKOFF_MS = 250;
 const DEFAULT_MAX_BACKOFF_MS = 2000;
 const DEFAULT_LOAD_HALF_LIFE_MS = 1500;
-/** Weight of one new sign in the share of failures. */
-const SIGN_WEIGHT = 0.3;
+/** Weight of one new attempt in the share of failures. */
+const OUTCOME_WEIGHT = 0.3;
 /** Weight of one new duration in the mean. */
 const DURATION_WEIGHT = 0.2;
-/** Half-life of a shared load. */
+/** Half-life of a load that other instances have shared. */
 const SHARED_LOAD_HALF_LIFE_MS = 5000;
-/** Shared loads count as recent for so long. */
-const SHARED_FOR_MS = 3000;
+/** Time for which shared loads count as recent. */
+const SHARED_LOAD_RECENT_MS = 3000;
 
-interface Belief {
+interface TrackedEndpoint {
   inFlight: number;
-  /** Work of one's own in flight, in prompt tokens. */
+  /** Work of this instance in flight, in prompt tokens. */
   workInFlight: number;
   failureShare: number;
   failureAtMs: number;
@@ -62,18 +62,18 @@
   rejectedAtMs: number;
   load: ReportedLoad | undefined;
   loadAtMs: number;
-  /** When one's own latest attempt began. */
+  /** When the latest attempt of this instance began. */
   begunAtMs: number;
-  /** Whether other instances share this endpoint's loads. */
+  /** Whether another instance has shared a load of this endpoint. */
   isShared: boolean;
   /** Own requests that the reported load already includes. */
   countedInLoad: number;
   meanDurationMs: number | undefined;
 }
 
-/** Times are milliseconds of one clock that does not go back. */
+/** Times are milliseconds of one monotonic clock. */
 export class EndpointMonitor {
-  private readonly beliefs = new Map<EndpointId, Belief>();
+  private readonly trackedEndpoints = new Map<EndpointId, TrackedEndpoint>();
   private readonly failureHalfLifeMs: number;
   private readonly firstBackoffMs: number;
   private readonly maxBackoffMs: number;
@@ -88,53 +88,54 @@
     this.loadHalfLifeMs = options.loadHalfLifeMs ?? DEFAULT_LOAD_HALF_LIFE_MS;
   }
 
-  /** An attempt begins; {@link end} has to follow. */
+  /** An attempt begins; {@link end} must be called when it ends. */
   begin(id: EndpointId, work: number, nowMs: number): void {
-    const belief = this.of(id);
-    belief.begunAtMs = nowMs;
-    belief.inFlight += 1;
-    belief.workInFlight += work;
+    const tracked = this.of(id);
+    tracked.begunAtMs = nowMs;
+    tracked.inFlight += 1;
+    tracked.workInFlight += work;
   }
 
   /** An attempt has ended. */
   end(id: EndpointId, work: number): void {
-    const belief = this.of(id);
-    belief.inFlight = Math.max(0, belief.inFlight - 1);
-    belief.workInFlight = Math.max(0, belief.workInFlight - work);
-    belief.countedInLoad = Math.min(belief.countedInLoad, belief.inFlight);
+    const tracked = this.of(id);
+    tracked.inFlight = Math.max(0, tracked.inFlight - 1);
+    tracked.workInFlight = Math.max(0, tracked.workInFlight - work);
+    tracked.countedInLoad = Math.min(tracked.countedInLoad, tracked.inFlight);
   }
 
   /**
-   * Takes in how an attempt went.
+   * Records the outcome of an attempt.
    *
    * @example
    * monitor.note(endpoint.id, 'failed', nowMs);
    */
   note(id: EndpointId, sign: EndpointSign, nowMs: number): void {
-    const belief = this.of(id);
+    const tracked = this.of(id);
     const share = this.failureShare(id, nowMs);
     const isFailure = sign === 'failed' || sign === 'silent';
     if (isFailure || sign === 'answered') {
-      belief.failureShare = share + SIGN_WEIGHT * ((isFailure ? 1 : 0) - share);
-      belief.failureAtMs = nowMs;
+      tracked.failureShare =
+        share + OUTCOME_WEIGHT * ((isFailure ? 1 : 0) - share);
+      tracked.failureAtMs = nowMs;
     }
-    if (sign === 'rejected') belief.rejectedAtMs = nowMs;
+    if (sign === 'rejected') tracked.rejectedAtMs = nowMs;
     if (sign === 'unreachable') {
-      const backoffMs = this.firstBackoffMs * 2 ** belief.unreachableCount;
-      belief.downUntilMs = nowMs + Math.min(this.maxBackoffMs, backoffMs);
-      belief.unreachableCount += 1;
+      const backoffMs = this.firstBackoffMs * 2 ** tracked.unreachableCount;
+      tracked.downUntilMs = nowMs + Math.min(this.maxBackoffMs, backoffMs);
+      tracked.unreachableCount += 1;
     } else {
-      belief.unreachableCount = 0;
-      belief.downUntilMs = 0;
+      tracked.unreachableCount = 0;
+      tracked.downUntilMs = 0;
     }
   }
 
   /** The endpoint reported its load with an answer. */
   noteLoad(id: EndpointId, load: ReportedLoad, nowMs: number): void {
-    const belief = this.of(id);
-    belief.load = load;
-    belief.loadAtMs = nowMs;
-    belief.countedInLoad = belief.inFlight;
+    const tracked = this.of(id);
+    tracked.load = load;
+    tracked.loadAtMs = nowMs;
+    tracked.countedInLoad = tracked.inFlight;
   }
 
   /**
@@ -142,16 +143,16 @@
    * sent later are not included in it.
    */
   noteReportedLoad(id: EndpointId, load: ReportedLoad, atMs: number): void {
-    const belief = this.of(id);
+    const tracked = this.of(id);
     this.reportedAtMs = Math.max(this.reportedAtMs, atMs);
-    if (belief.load !== undefined && belief.loadAtMs >= atMs) return;
-    belief.isShared = true;
-    belief.load = load;
-    belief.loadAtMs = atMs;
-    const isInFlightNew = belief.begunAtMs > atMs;
-    belief.countedInLoad = Math.max(
+    if (tracked.load !== undefined && tracked.loadAtMs >= atMs) return;
+    tracked.isShared = true;
+    tracked.load = load;
+    tracked.loadAtMs = atMs;
+    const isInFlightNew = tracked.begunAtMs > atMs;
+    tracked.countedInLoad = Math.max(
       0,
-      belief.inFlight - (isInFlightNew ? 1 : 0),
+      tracked.inFlight - (isInFlightNew ? 1 : 0),
     );
   }
 
@@ -160,81 +161,82 @@
    * the same loads and would choose the same endpoint.
    */
   hasRecentReports(nowMs: number): boolean {
-    return nowMs - this.reportedAtMs < SHARED_FOR_MS;
+    return nowMs - this.reportedAtMs < SHARED_LOAD_RECENT_MS;
   }
 
   /** Age of the latest known load. */
   loadAgeMs(id: EndpointId, nowMs: number): number | undefined {
-    const belief = this.beliefs.get(id);
-    return belief?.load && nowMs - belief.loadAtMs;
+    const tracked = this.trackedEndpoints.get(id);
+    return tracked?.load && nowMs - tracked.loadAtMs;
   }
 
-  /** How long an answer took that the endpoint gave in one piece. */
+  /** Records how long an answer took that is not a stream. */
   noteDuration(id: EndpointId, durationMs: number): void {
-    const belief = this.of(id);
-    const mean = belief.meanDurationMs ?? durationMs;
-    belief.meanDurationMs = mean + DURATION_WEIGHT * (durationMs - mean);
+    const tracked = this.of(id);
+    const mean = tracked.meanDurationMs ?? durationMs;
+    tracked.meanDurationMs = mean + DURATION_WEIGHT * (durationMs - mean);
   }
 
   meanDurationMs(id: EndpointId): number | undefined {
-    return this.beliefs.get(id)?.meanDurationMs;
+    return this.trackedEndpoints.get(id)?.meanDurationMs;
   }
 
-  /** Could not be reached a moment ago. */
+  /** Whether the pause after a failure to connect is in progress. */
   isDown(id: EndpointId, nowMs: number): boolean {
-    const belief = this.beliefs.get(id);
-    return belief !== undefined && nowMs < belief.downUntilMs;
+    const tracked = this.trackedEndpoints.get(id);
+    return tracked !== undefined && nowMs < tracked.downUntilMs;
   }
 
-  /** 0 to 1; fades, so that an endpoint is tried again. */
+  /** Share of failures, 0 to 1; decays, so that an endpoint is tried again. */
   failureShare(id: EndpointId, nowMs: number): number {
-    const belief = this.beliefs.get(id);
-    if (belief === undefined) return 0;
-    const ageMs = nowMs - belief.failureAtMs;
-    return belief.failureShare * 0.5 ** (ageMs / this.failureHalfLifeMs);
+    const tracked = this.trackedEndpoints.get(id);
+    if (tracked === undefined) return 0;
+    const ageMs = nowMs - tracked.failureAtMs;
+    return tracked.failureShare * 0.5 ** (ageMs / this.failureHalfLifeMs);
   }
 
   inFlight(id: EndpointId): number {
-    return this.beliefs.get(id)?.inFlight ?? 0;
+    return this.trackedEndpoints.get(id)?.inFlight ?? 0;
   }
 
-  /** One's own work in flight, in prompt tokens. */
+  /** Work of this instance in flight, in prompt tokens. */
   workInFlight(id: EndpointId): number {
-    return this.beliefs.get(id)?.workInFlight ?? 0;
+    return this.trackedEndpoints.get(id)?.workInFlight ?? 0;
   }
 
   /**
-   * Requests at the endpoint, of all instances: what it reported last, faded, and
-   * those of one's own that came later.
+   * Requests of all instances at the endpoint: those of this instance that are
+   * in flight, and those of others by the last reported load, which decays.
    */
   estimateLoad(id: EndpointId, nowMs: number): number {
-    const belief = this.beliefs.get(id);
-    if (belief === undefined) return 0;
-    const {load, inFlight, countedInLoad} = belief;
+    const tracked = this.trackedEndpoints.get(id);
+    if (tracked === undefined) return 0;
+    const {load, inFlight, countedInLoad} = tracked;
     if (load === undefined) return inFlight;
     const others = Math.max(0, load.running + load.waiting - countedInLoad);
-    return inFlight + others * this.fadeOf(belief, nowMs);
+    return inFlight + others * this.decayOf(tracked, nowMs);
   }
 
-  /** Requests that waited there when it last reported its load, faded. */
+  /** Requests that waited when the load was last reported; decays. */
   estimateWaiting(id: EndpointId, nowMs: number): number {
-    const belief = this.beliefs.get(id);
-    if (belief?.load === undefined) return 0;
-    return belief.load.waiting * this.fadeOf(belief, nowMs);
+    const tracked = this.trackedEndpoints.get(id);
+    if (tracked?.load === undefined) return 0;
+    return tracked.load.waiting * this.decayOf(tracked, nowMs);
   }
 
-  /** It said that it was full this long ago. */
+  /** Time since the endpoint last rejected a request as full. */
   sinceRejectedMs(id: EndpointId, nowMs: number): number {
-    const belief = this.beliefs.get(id);
-    return belief === undefined
+    const tracked = this.trackedEndpoints.get(id);
+    return tracked === undefined
       ? Number.POSITIVE_INFINITY
-      : nowMs - belief.rejectedAtMs;
+      : nowMs - tracked.rejectedAtMs;
   }
 
-  /** Forgets endpoints that are gone, or memory grows with each life. */
+  /** Forgets endpoints that are gone; else memory grows with each restart. */
   retain(ids: ReadonlySet<EndpointId>): void {
-    for (const [id, belief] of this.beliefs) {
-      if (!ids.has(id) && belief.inFlight === 0) this.beliefs.delete(id);
+    for (const [id, tracked] of this.trackedEndpoints) {
+      if (!ids.has(id) && tracked.inFlight === 0)
+        this.trackedEndpoints.delete(id);
     }
   }
 
@@ -242,7 +244,10 @@
    * A shared load stays valid for longer: a newer answer to any instance would
    * have replaced it.
    */
-  private fadeOf({isShared, loadAtMs}: Belief, nowMs: number): number {
+  private decayOf(
+    {isShared, loadAtMs}: TrackedEndpoint,
+    nowMs: number,
+  ): number {
     const halfLifeMs =
       isShared && this.hasRecentReports(nowMs)
         ? SHARED_LOAD_HALF_LIFE_MS
@@ -250,10 +255,10 @@
     return 0.5 ** ((nowMs - loadAtMs) / halfLifeMs);
   }
 
-  private of(id: EndpointId): Belief {
-    const existing = this.beliefs.get(id);
+  private of(id: EndpointId): TrackedEndpoint {
+    const existing = this.trackedEndpoints.get(id);
     if (existing !== undefined) return existing;
-    const belief: Belief = {
+    const tracked: TrackedEndpoint = {
       inFlight: 0,
       workInFlight: 0,
       failureShare: 0,
@@ -268,7 +273,7 @@
       countedInLoad: 0,
       meanDurationMs: undefined,
     };
-    this.beliefs.set(id, belief);
-    return belief;
+    this.trackedEndpoints.set(id, tracked);
+    return tracked;
   }
 }
--- a/packages/routing/src/endpoint_rate_limits.test.ts
+++ b/packages/routing/src/endpoint_rate_limits.test.ts
@@ -6,19 +6,19 @@
 const ENDPOINT = brandAs<EndpointId>('rate-limited');
 const SPAN_MS = 4000;
 
-/** Tolerated in {@link SPAN_MS}: half more than the limit, and a few requests. */
+/** Tolerated in {@link SPAN_MS}: 1.5 times the limit, and five requests. */
 function mostInSpan(rateLimitPerS: number): number {
   return 1.5 * rateLimitPerS * (SPAN_MS / 1000) + 5;
 }
 
 interface Simulated {
   readonly rateLimitPerS: number;
-  /** What each instance believes of the number of instances. */
+  /** Number of instances as each instance has counted them. */
   readonly counted: readonly number[];
   readonly seed: number;
 }
 
-/** When the endpoint gets requests while all instances want it all the time. */
+/** Times at which the endpoint gets requests while all instances want it. */
 function simulate({
   rateLimitPerS,
   counted,
@@ -71,7 +71,7 @@
 }
 
 test('load pattern: three quarters more instances than were counted', t => {
-  // Guards against instances that started since the last count.
+  // Guards against excess requests of instances that started after the count.
   for (const [instances, counted] of [
     [16, 9],
     [114, 65],
@@ -85,7 +85,8 @@
 });
 
 test('load pattern: a data centre is cut off and the others count without it', t => {
-  // Guards against a sum over two sides of a partition that goes by two counts.
+  // Guards against exceeding the limit when two sides of a partition use two
+  // counts.
   const counted = [...sameCount(6), ...sameCount(3, 9)];
   for (let seed = 1; seed <= 5; seed++) {
     const arrivals = simulate({rateLimitPerS: 1, counted, seed});
@@ -108,14 +109,14 @@
   t.true(limits.mayAdmit(ENDPOINT, 60));
 });
 
-test('an endpoint with the limit 0 still gets a request now and then', t => {
-  // Guards against a limit whose end no instance would notice.
+test('an endpoint with the limit 0 still gets occasional requests', t => {
+  // Guards against a limit whose end no instance notices.
   const arrivals = simulate({rateLimitPerS: 0, counted: sameCount(9), seed: 1});
   t.true(arrivals.length > 0);
   t.true(mostInAnySpan(arrivals) <= mostInSpan(0));
 });
 
-test('an instance that doesn’t know the number of instances sends little', t => {
+test('an instance that doesn’t know the number of instances sends few requests', t => {
   const limits = new EndpointRateLimits({
     readInstances: () => undefined,
     random: () => 0,
--- a/packages/routing/src/endpoint_rate_limits.ts
+++ b/packages/routing/src/endpoint_rate_limits.ts
@@ -1,10 +1,10 @@
-/** Enforces the rate limits that overloaded endpoints announce in their answers. */
+/** Enforces rate limits that overloaded endpoints announce in their answers. */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
 
-/** What an {@link EndpointRateLimits} is made from; defaults in the brackets. */
+/** Options of {@link EndpointRateLimits}; defaults in brackets. */
 export interface EndpointRateLimitsOptions {
-  /** How many instances there are, as far as it is known. */
+  /** Number of instances; undefined while not known. */
   readonly readInstances: () => number | undefined;
   /** At least 0 and below 1 (`Math.random`). */
   readonly random?: () => number;
@@ -21,11 +21,11 @@
 }
 
 const SECOND_MS = 1000;
-/** Assumed while the number is unknown. */
-const UNKNOWN_INSTANCES = 100;
+/** Number of instances assumed while it is not known. */
+const ASSUMED_INSTANCE_COUNT = 100;
 /** Instances that have started since they were last counted, as a share. */
 const UNCOUNTED_SHARE = 0.5;
-/** Unused tokens are kept for so long. */
+/** Unused tokens are kept for this many seconds. */
 const MAX_SAVED_S = 0.5;
 /** Without occasional requests no instance would notice the end of a limit. */
 const MIN_LIMIT_PER_S = 0.1;
@@ -34,9 +34,9 @@
  * Load pattern: an overloaded endpoint limits the requests a second from all
  * instances together, while each of dozens of instances has requests for it.
  *
- * Instances share the rate without a message: each has a token bucket with an
- * equal share of it. Buckets start at random levels, or all instances would send
- * their first request at the same time.
+ * Instances divide the rate without messages: each has a token bucket with an
+ * equal share of it. Buckets start at random levels, or all instances would
+ * send their first request at the same time.
  */
 export class EndpointRateLimits {
   private readonly buckets = new Map<EndpointId, Bucket>();
@@ -126,7 +126,7 @@
   }
 
   private ownShare(rateLimitPerS: number): number {
-    const instances = this.options.readInstances() ?? UNKNOWN_INSTANCES;
+    const instances = this.options.readInstances() ?? ASSUMED_INSTANCE_COUNT;
     const most = Math.max(1, instances) * (1 + UNCOUNTED_SHARE);
     return Math.max(MIN_LIMIT_PER_S, rateLimitPerS) / most;
   }
--- a/packages/routing/src/engine_need.ts
+++ b/packages/routing/src/engine_need.ts
@@ -1,6 +1,6 @@
-/** How many engines the demand of the moment needs. */
+/** Estimates the number of engines that the current demand needs. */
 
-/** What an {@link EngineNeed} is made from; defaults in the brackets. */
+/** Options of {@link EngineNeed}; defaults in brackets. */
 export interface EngineNeedOptions {
   /** Half-life of a peak (5,000 ms). */
   readonly halfLifeMs?: number;
@@ -8,15 +8,16 @@
 
 const DEFAULT_HALF_LIFE_MS = 5000;
 /**
- * Share of an engine's places above which its streams stutter, since prompts are
- * read between their tokens.
+ * Utilization of an engine's batch above which its streams stutter, since
+ * prompts are processed between their tokens.
  */
-const COMFORTABLE_SHARE = 0.25;
+const MAX_SMOOTH_UTILIZATION_SHARE = 0.25;
 
 /**
- * Counts engines by the requests that are at them. A peak fades: endpoints that
- * were given back with the first calm second would be missing in the next wave
- * of the same burst, and take seconds to boot.
+ * Derives the number of engines from the requests that are at them. A peak
+ * decays slowly: endpoints that were released in the first second of lower load
+ * would be missing in the next wave of the same burst, and take seconds to
+ * boot.
  */
 export class EngineNeed {
   private engines = 0;
@@ -28,10 +29,10 @@
   }
 
   /**
-   * Takes in how many requests run or wait at all engines together.
+   * Updates the estimate with the requests that run or wait at all engines.
    *
    * @param batchSize requests that one engine works on at once.
-   * @returns engines, rounded up.
+   * @returns the number of engines, rounded up.
    * @example
    * const needed = need.update({requests, batchSize: 32}, nowMs);
    */
@@ -39,9 +40,10 @@
     load: {readonly requests: number; readonly batchSize: number},
     nowMs: number,
   ): number {
-    const now = load.requests / (load.batchSize * COMFORTABLE_SHARE);
-    const faded = 0.5 ** ((nowMs - this.atMs) / this.halfLifeMs) * this.engines;
-    this.engines = Math.max(now, faded);
+    const now = load.requests / (load.batchSize * MAX_SMOOTH_UTILIZATION_SHARE);
+    const decayed =
+      0.5 ** ((nowMs - this.atMs) / this.halfLifeMs) * this.engines;
+    this.engines = Math.max(now, decayed);
     this.atMs = nowMs;
     return Math.ceil(this.engines);
   }
--- a/packages/routing/src/engine_split.test.ts
+++ b/packages/routing/src/engine_split.test.ts
@@ -29,7 +29,7 @@
   t.is(findShortRoutes(demand.read(REPAIR, 0)).size, 0);
 });
 
-/** So many requests of each route, evenly over two seconds. */
+/** Meters the given requests of each route, evenly over two seconds. */
 function countRequests(counts: {
   readonly quote: number;
   readonly counter: number;
@@ -56,25 +56,26 @@
   });
 }
 
-test('engines follow a burst of short requests before the others have agreed', t => {
-  // Counter questions come four times as often from one second to the next. Seen:
-  // they queued before a third of the engines, two deep, and a third of their
-  // callers left, while the engines for long prompts had places free; the agreed
-  // figures told of the burst when it was over.
+test('the split follows a burst of short requests before new figures are agreed', t => {
+  // Guards against losing a third of the callers of short requests: their rate
+  // quadruples within a second, and they queue two deep at a third of the
+  // engines beside free ones, since the agreed figures show the burst when it
+  // is over.
   const agreed = countRequests({quote: 80, counter: 120});
   const burst = countRequests({quote: 30, counter: 160});
   t.true(shareFor(agreed, burst) > 1.5 * shareFor(agreed, agreed));
 });
 
-test('engines follow a burst of long prompts too', t => {
+test('the split follows a burst of long prompts too', t => {
   const agreed = countRequests({quote: 80, counter: 120});
   const burst = countRequests({quote: 90, counter: 40});
   t.true(shareFor(agreed, burst) < 0.7 * shareFor(agreed, agreed));
 });
 
-test('a few requests more or less move no engine', t => {
-  // Instances that went by their own few requests on calm days would split the
-  // engines unlike each other, and streams would stutter on those in dispute.
+test('a small change of the recent requests does not change the split', t => {
+  // Guards against instances that split the engines differently by their own
+  // few requests at low load; streams stutter on engines that are on both
+  // sides.
   const agreed = countRequests({quote: 80, counter: 120});
   for (const recent of [
     countRequests({quote: 8, counter: 15}),
@@ -85,7 +86,7 @@
   }
 });
 
-/** Engines of three data centres, under the names of one of many days. */
+/** Engines of three data centres; their names differ by day. */
 function nameEngines(day: number): ServingEndpoint[] {
   return Array.from({length: 15}, (_, index) =>
     makeEndpoint(`i-${day}-${index}`, {
@@ -94,10 +95,10 @@
   );
 }
 
-test('hardly an engine changes sides when a data centre is lost', t => {
-  // A data centre is cut off. The engines that are left are split anew; each that
-  // changes sides has to read the prompts that it gets from their beginnings, at
-  // the very moment at which a third of the engines is missing.
+test('hardly any engine changes sides when a data centre is lost', t => {
+  // Guards against cold caches while a third of the engines is missing: a data
+  // centre is cut off, the remaining engines are split again, and each one that
+  // changes sides has to process its new prompts from the start.
   let moved = 0;
   for (let day = 0; day < 200; day += 1) {
     const engines = nameEngines(day);
@@ -106,18 +107,18 @@
     const after = new Set(orderForSplit(left).slice(0, 3));
     moved += left.filter(each => before.has(each) !== after.has(each)).length;
   }
-  // By rank alone 0.66 engines of 10 changed sides.
+  // Without spreading over data centres 0.66 engines of 10 change sides.
   t.true(moved / 200 < 0.4, `${moved / 200}`);
 });
 
-test('no data centre has one side alone', t => {
+test('no data centre has engines of one side only', t => {
   for (let day = 0; day < 200; day += 1) {
     const short = orderForSplit(nameEngines(day)).slice(0, 5);
     t.is(new Set(short.map(({dataCentre}) => dataCentre)).size, 3);
   }
 });
 
-test('a side is widened by the next engines in the order, as far as it takes', t => {
+test('a side is widened by the next engines in order until the limit is met', t => {
   const engines = Array.from({length: 10}, (_, index) =>
     makeEndpoint(`engine-${index}`, {capacity: 16}),
   );
--- a/packages/routing/src/engine_split.ts
+++ b/packages/routing/src/engine_split.ts
@@ -1,4 +1,4 @@
-/** How the engines of a service are split between short and long work. */
+/** Splits the engines of a service between short and long work. */
 
 import {rankByRendezvous} from '@snipestage/policy/rendezvous.js';
 import type {DataCentreId} from '@snipestage/types/ids.js';
@@ -6,21 +6,24 @@
 import type {RouteId} from './route.js';
 import type {ServingEndpoint} from './serving_endpoint.js';
 
-/** All instances order the engines alike by this key. */
-const PARTITION_KEY = 'short-pauses';
+/** Rendezvous key by which all instances rank the engines in the same order. */
+const SPLIT_RANKING_KEY = 'short-pauses';
 /**
- * A route counts as one of short pauses when it may pause for at most this
- * share of what the most patient route of its service may. An engine that reads
- * long prompts pauses between tokens, whatever its other requests need.
+ * A route needs short pauses when its pause target is at most this share of the
+ * longest one of its service. An engine that processes long prompts pauses
+ * between tokens, whatever its other requests need.
  */
 const SHORT_PAUSE_SHARE = 0.5;
-/** Prompts of at most this share of the mean disturb little. */
+/** Prompts of at most this share of the mean length delay streams little. */
 const SHORT_PROMPT_SHARE = 0.5;
-/** Arrivals are bursty, and a false alarm moves prompts to cold caches. */
-const DEVIATIONS_OF_A_BURST = 3;
+/**
+ * Standard deviations from the agreed share that count as a burst. Arrivals are
+ * bursty, and a false alarm moves prompts to cold caches.
+ */
+const BURST_DEVIATION_COUNT = 3;
 
 /**
- * Routes that need short pauses and bring short prompts.
+ * Routes that need short pauses and have short prompts.
  *
  * @example
  * const short = findShortRoutes(demand.read(service, nowMs));
@@ -46,10 +49,10 @@
 }
 
 /**
- * An order that all instances share, with each data centre's engines spread
- * evenly over it. When a data centre is lost, both sides lose the same share of
- * their engines and hardly any engine changes sides: one that does has none of
- * the prompts that it gets from then on in its cache.
+ * Sorts the engines in an order that all instances share, with each data
+ * centre's engines spread evenly over it. When a data centre is lost, both
+ * sides lose the same share of their engines and hardly any engine changes
+ * sides: one that does has none of the prompts that it then gets in its cache.
  *
  * @example
  * const shortSide = orderForSplit(engines).slice(0, 3);
@@ -63,7 +66,7 @@
     sizes.set(dataCentre, (sizes.get(dataCentre) ?? 0) + 1);
   }
   const seen = new Map<DataCentreId, number>();
-  const placed = rankByRendezvous(PARTITION_KEY, byId.keys()).map(id => {
+  const placed = rankByRendezvous(SPLIT_RANKING_KEY, byId.keys()).map(id => {
     const engine = byId.get(id)!;
     const before = seen.get(engine.dataCentre) ?? 0;
     seen.set(engine.dataCentre, before + 1);
@@ -74,23 +77,23 @@
   return placed.map(({engine}) => engine);
 }
 
-/** What {@link shareOfShortRoutes} goes by. */
+/** Inputs of {@link shareOfShortRoutes}. */
 export interface SplitInput {
-  /** As all instances agree upon them, some seconds old. */
+  /** Demand over all instances, some seconds old. */
   readonly demands: readonly RouteDemand[];
   readonly shortRoutes: ReadonlySet<RouteId>;
-  /** Requests of each route that this instance has seen of late. */
+  /** Recent requests of each route at this instance. */
   readonly recentCounts: ReadonlyMap<RouteId, number>;
 }
 
 /**
- * The share of work that the short side brings.
+ * The share of work that the short routes cause.
  *
  * The agreed demand is some seconds old. When a burst of one side begins, that
- * side's requests queue before a few full engines while the others have places
- * free, until the next figures are agreed. So an instance goes by its own
- * requests of the last seconds once their mix differs from the agreed one by
- * more than chance would have it; all see the burst at about the same time.
+ * side's requests queue at a few full engines while the others have free
+ * capacity, until the next figures are agreed. So an instance uses its own
+ * recent requests once their mix differs from the agreed one by more than
+ * chance explains; all instances see the burst at about the same time.
  *
  * @example
  * const share = shareOfShortRoutes({demands, shortRoutes, recentCounts});
@@ -104,18 +107,21 @@
     ({route}) => recentCounts.get(route) ?? 0,
   );
   const difference = Math.abs(recent.share - agreed.share);
-  return difference > DEVIATIONS_OF_A_BURST * recent.deviation
+  return difference > BURST_DEVIATION_COUNT * recent.deviation
     ? recent.share
     : agreed.share;
 }
 
 interface MeasuredShare {
   readonly share: number;
-  /** By which the share of so few requests wavers. */
+  /** Standard deviation of the share, given the number of requests. */
   readonly deviation: number;
 }
 
-/** With the agreed work of a request of each route: single sizes vary widely. */
+/**
+ * Uses the mean work of a request of each route by the agreed demand: sizes of
+ * single requests vary widely.
+ */
 function measureShare(
   demands: readonly RouteDemand[],
   shortRoutes: ReadonlySet<RouteId>,
@@ -149,7 +155,7 @@
 }
 
 /**
- * How many of the engines serve the short side; neither side is ever empty.
+ * Number of engines that serve the short side; neither side is ever empty.
  *
  * @example
  * splitCount(8, 0.4); // 3
@@ -158,21 +164,21 @@
   return Math.min(engines - 1, Math.max(1, Math.round(engines * share)));
 }
 
-/** What {@link widenSide} goes by. */
+/** Options of {@link widenSide}. */
 export interface WidenOptions {
   /** Requests of all instances at an engine. */
   readonly loadOf: (engine: ServingEndpoint) => number;
-  /** Share of a side's places that may be taken before it is widened. */
+  /** Utilization of a side above which it is widened. */
   readonly maxUtilization: number;
 }
 
 /**
- * A side with as many engines of the other side as it takes to bring its
- * utilization down to a limit.
+ * Adds as many engines of the other side to a side as bring its utilization
+ * down to a limit.
  *
  * Load pattern: a burst of one side's requests begins while the agreed demand
- * still describes the other's. The side is too small for it, and loads are a
- * second old: the little room that is left on it is taken many times over.
+ * still describes a burst of the other side. The side is too small for it, and
+ * loads are a second old: many instances use the same little free capacity.
  *
  * @param ordered engines in the shared order; those of the side come first.
  * @param count engines of the side itself.
--- a/packages/routing/src/instance_estimate.ts
+++ b/packages/routing/src/instance_estimate.ts
@@ -1,13 +1,13 @@
-/** Estimates the number of instances before the first count is known. */
+/** Estimates the number of instances until the first count is known. */
 
-/** What an {@link InstanceEstimate} is made from; defaults in the brackets. */
+/** Options of {@link InstanceEstimate}; defaults in brackets. */
 export interface InstanceEstimateOptions {
   readonly dataCentres: number;
   /** Number of instances from which relays save calls. */
   readonly relaysPayFrom: number;
-  /** How long a relay waits for many followers (2,500 ms). */
+  /** How long a relay with many followers waits for more (2,500 ms). */
   readonly manyAfterMs?: number;
-  /** How long it waits before it says that there are few (6,000 ms). */
+  /** How long a relay with few followers waits for more (6,000 ms). */
   readonly fewAfterMs?: number;
 }
 
@@ -21,8 +21,8 @@
 const DEFAULT_FEW_AFTER_MS = 6000;
 
 /**
- * Load pattern: hundreds of instances start within a second, and the first count
- * of them comes with the first usage window, ten seconds later. A relay knows its
+ * Load pattern: hundreds of instances start within a second, and they are first
+ * counted with the first usage window, ten seconds later. A relay knows its
  * followers after two seconds. Other data centres are assumed to be as large.
  */
 export class InstanceEstimate {
--- a/packages/routing/src/lease_candidates.ts
+++ b/packages/routing/src/lease_candidates.ts
@@ -13,26 +13,27 @@
   readonly upForMs: number;
 }
 
-/** Enough that one is left when some are killed or cut off. */
-const CANDIDATES = 8;
+/** Enough that one candidate remains when some are killed or cut off. */
+const CANDIDATE_COUNT = 8;
 /** While the number of instances is unknown, all compete after this time. */
-const ALL_STAND_AFTER_MS = 10_000;
+const ALL_COMPETE_AFTER_MS = 10_000;
 /** Hashes are 32 bits. */
 const HASH_RANGE = 2 ** 32;
 
 /**
- * Whether an instance competes for a lease. Each candidate polls the lease's row,
- * so only a few do, chosen by a hash of their names. Load pattern: hundreds of
- * instances start within a second and don't know how many they are; they join
- * one after the other until the lease is taken.
+ * Whether an instance competes for a lease. Each candidate polls the lease's
+ * row, so only a few do, chosen by a hash of their names. Load pattern:
+ * hundreds of instances start within a second and don't know their number; they
+ * begin to compete one after the other, so that few do before the lease is
+ * taken.
  *
  * @example
- * const stands = standsForLease({instance, lease, instances, upForMs});
+ * const isCandidate = standsForLease({instance, lease, instances, upForMs});
  */
 export function standsForLease(candidate: LeaseCandidate): boolean {
   const {instance, lease, instances, upForMs} = candidate;
   const place = hashText(`${lease}/${instance}`) / HASH_RANGE;
   return instances === undefined
-    ? place < upForMs / ALL_STAND_AFTER_MS
-    : place < CANDIDATES / instances;
+    ? place < upForMs / ALL_COMPETE_AFTER_MS
+    : place < CANDIDATE_COUNT / instances;
 }
--- a/packages/routing/src/least_loaded_placement.ts
+++ b/packages/routing/src/least_loaded_placement.ts
@@ -8,14 +8,14 @@
   leaveOutRateLimited,
   Placement,
   type Placed,
-  type PlacementBeliefs,
+  type PlacementState,
   type PlacementRequest,
 } from './placement.js';
 import type {ServingEndpoint} from './serving_endpoint.js';
 
-/** What a {@link LeastLoadedPlacement} is made from. */
-export interface LeastLoadedPlacementOptions extends PlacementBeliefs {
-  /** At least 0 and below 1; spreads instances that know the same. */
+/** Options of {@link LeastLoadedPlacement}. */
+export interface LeastLoadedPlacementOptions extends PlacementState {
+  /** At least 0 and below 1; spreads the choices of instances. */
   readonly random?: () => number;
 }
 
@@ -24,11 +24,11 @@
  * others, so that an endpoint that fails everything is tried last.
  */
 const FAILURE_COST_IN_REQUESTS = 12;
-/** Another data centre is about a hundredth of a request's work away. */
+/** Another data centre costs about a hundredth of a request's work. */
 const REMOTE_COST_IN_REQUESTS = 0.2;
 const RANDOM_COST_IN_REQUESTS = 0.1;
 
-/** The endpoint with the shortest expected wait, the slow and failing last. */
+/** Chooses the shortest expected wait; slow and failing endpoints come last. */
 export class LeastLoadedPlacement extends Placement {
   private readonly monitor: EndpointMonitor;
   private readonly random: () => number;
@@ -71,7 +71,7 @@
     );
   }
 
-  /** The least mean duration: what a sound endpoint takes. */
+  /** The least mean duration: that of a healthy endpoint. */
   private typicalDurationMs(endpoints: readonly ServingEndpoint[]): number {
     const means = endpoints
       .map(({id}) => this.monitor.meanDurationMs(id))
--- a/packages/routing/src/load_view.test.ts
+++ b/packages/routing/src/load_view.test.ts
@@ -21,7 +21,7 @@
   return {monitor, view, known};
 }
 
-test('an instance knows the load of an engine that it never asked', t => {
+test('an instance knows the load of an engine to which it sent nothing', t => {
   // Guards against urgent requests at full engines beside idle ones.
   const {monitor, view} = makeView();
   t.is(view.take(reading(20, 1000), 'remote', 1000), undefined);
@@ -30,7 +30,7 @@
   t.true(monitor.hasRecentReports(1400));
 });
 
-test('the newest reading holds, whoever had it', t => {
+test('the newest reading is kept, whichever instance it comes from', t => {
   // Guards against reports that overtake each other on their way.
   const {monitor, view} = makeView();
   view.take(reading(3, 900), 'local', 1000);
@@ -40,8 +40,8 @@
   t.is(monitor.estimateLoad(ENGINE, 950), 5);
 });
 
-test('what is old, from the future or of no known engine is dropped', t => {
-  // Guards against a process that sends anything.
+test('readings that are old, from the future or of unknown engines are dropped', t => {
+  // Guards against invalid readings of other processes.
   const {monitor, view} = makeView();
   t.is(view.take(reading(20, 2000), 'remote', 6000), 'too_old');
   t.is(view.take(reading(20, 7000), 'remote', 6000), 'from_the_future');
@@ -50,15 +50,15 @@
   t.is(monitor.estimateLoad(GONE, 6000), 0);
 });
 
-test('without reports an instance is back to its own answers', t => {
-  // Guards against choosing by the last report of a relay that is gone.
+test('without reports an instance relies on its own answers again', t => {
+  // Guards against choosing by the stale report of a relay that is gone.
   const {monitor, view} = makeView();
   view.take(reading(20, 0), 'remote', 0);
   t.false(monitor.hasRecentReports(3001));
   t.true(monitor.estimateLoad(ENGINE, 9000) < 0.5);
 });
 
-test('a load that others tell holds while none of them has a newer one', t => {
+test('a load shared by others decays more slowly than an own one', t => {
   // Guards against full engines that look half empty a second later.
   const {monitor, view} = makeView();
   view.take(reading(20, 0), 'remote', 0);
@@ -68,15 +68,16 @@
   t.true(own.monitor.estimateLoad(ENGINE, 1500) < 11);
 });
 
-test('requests sent after the told load count on top of it', t => {
-  // Guards against a second request to an engine because the first isn't told.
+test('requests sent after a shared load count in addition to it', t => {
+  // Guards against a second request to an engine because the first isn't
+  // counted.
   const {monitor, view} = makeView();
   monitor.begin(ENGINE, 1, 500);
   view.take(reading(4, 400), 'remote', 600);
   t.true(monitor.estimateLoad(ENGINE, 400) > 4.9);
 });
 
-test('each reading is told once, to those that do not have it', t => {
+test('each reading is passed on once, to those that do not have it', t => {
   // Guards against relays of two data centres that echo each other's readings.
   const {view, known} = makeView();
   view.take(reading(4, 900), 'remote', 1000);
--- a/packages/routing/src/load_view.ts
+++ b/packages/routing/src/load_view.ts
@@ -1,4 +1,4 @@
-/** The latest load of each endpoint, as reported to any instance. */
+/** Keeps the latest load of each endpoint, as reported to any instance. */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
 import type {EndpointRateLimits} from './endpoint_rate_limits.js';
@@ -8,23 +8,29 @@
 export interface LoadReading {
   readonly endpoint: EndpointId;
   readonly load: ReportedLoad;
-  /** Requests a second that the endpoint takes from all instances, if limited. */
+  /**
+   * Requests a second that the endpoint takes from all instances, if limited.
+   */
   readonly rateLimitPerS?: number;
   /** Time of the answer by this instance's clock. */
   readonly atMs: number;
 }
 
-/** Which instance got the answer: this one, one of its data centre, or another. */
+/**
+ * The instance that got the answer: this one, one of its data centre, another.
+ */
 export type LoadOrigin = 'own' | 'local' | 'remote';
 
-/** What a {@link LoadView} is made from; defaults in the brackets. */
+/** Options of {@link LoadView}; defaults in brackets. */
 export interface LoadViewOptions {
   readonly monitor: EndpointMonitor;
-  /** Receives rate limits that other instances have learnt. */
+  /** Receives rate limits that other instances have read from answers. */
   readonly rateLimits?: EndpointRateLimits;
-  /** Whether the loads of an endpoint are exchanged; false for unknown ones. */
+  /**
+   * Whether loads of an endpoint are exchanged; false for unknown endpoints.
+   */
   readonly isShared: (endpoint: EndpointId) => boolean;
-  /** Readings that are older are dropped (3,000 ms). */
+  /** Older readings are dropped (3,000 ms). */
   readonly maxAgeMs?: number;
 }
 
@@ -39,21 +45,21 @@
 
 const DEFAULT_MAX_AGE_MS = 3000;
 
-interface Kept {
+interface KeptReading {
   readonly reading: LoadReading;
   readonly origin: LoadOrigin;
-  /** Rises with each reading that is taken in. */
+  /** Rises with each recorded reading. */
   readonly number: number;
 }
 
 /**
  * Load pattern: hundreds of instances in front of a hundred engines. Each
- * instance gets an answer from each engine every half a minute, so its own answers
- * don't show which engines are full. Together the instances get one about every
- * second; they exchange these readings.
+ * instance gets an answer from each engine every half a minute, so its own
+ * answers don't show which engines are full. Together the instances get one
+ * about every second; they exchange these readings.
  */
 export class LoadView {
-  private readonly kept = new Map<EndpointId, Kept>();
+  private readonly kept = new Map<EndpointId, KeptReading>();
   private readonly maxAgeMs: number;
   private count = 0;
 
@@ -69,9 +75,9 @@
   }
 
   /**
-   * Takes in a reading of another instance.
+   * Records a reading of another instance.
    *
-   * @returns why it was dropped; undefined when it was taken in.
+   * @returns why it was dropped; undefined when it was recorded.
    * @example
    * const drop = view.take(reading, 'local', nowMs);
    */
@@ -93,9 +99,9 @@
   }
 
   /**
-   * Readings taken in since a mark, without those that have become too old.
+   * Readings recorded since a mark, without those that have become too old.
    *
-   * @param mark 0 at first, then that of the changes before.
+   * @param mark 0 at first, then the mark of the previous call.
    * @example
    * const {readings, mark} = view.changesSince(before, ['own'], nowMs);
    */
--- a/packages/routing/src/local_engines.test.ts
+++ b/packages/routing/src/local_engines.test.ts
@@ -24,17 +24,17 @@
 }
 
 test('requests stay in their data centre while its engines have room', t => {
-  // Guards against bytes between data centres that nobody needs.
+  // Guards against needless traffic between data centres.
   t.is(prefer(4), 6);
   t.is(prefer(5), 6);
 });
 
-test('clients that move to one data centre get the engines of all', t => {
+test('requests of clients that move to one data centre use the engines of all', t => {
   // Guards against queues in one data centre beside idle engines in another.
   t.is(prefer(9), 12);
 });
 
-test('where there are few near engines all are looked at', t => {
+test('with few local engines all engines are candidates', t => {
   // Guards against a small data centre whose only engine gets everything.
   t.is(prefer(0, ENGINES.slice(4)), 8);
 });
--- a/packages/routing/src/local_engines.ts
+++ b/packages/routing/src/local_engines.ts
@@ -1,9 +1,9 @@
-/** Preference for the engines of the instance's own data centre. */
+/** Prefers the engines of the instance's own data centre. */
 
 import type {DataCentreId} from '@snipestage/types/ids.js';
 import type {ServingEndpoint} from './serving_endpoint.js';
 
-/** What {@link preferLocal} goes by. */
+/** Options of {@link preferLocal}. */
 export interface LocalOptions {
   readonly dataCentre: DataCentreId;
   /** Requests of all instances at an engine. */
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -1,4 +1,4 @@
-/** Where a request goes. */
+/** Chooses the endpoint of a request. */
 
 import type {DataCentreId, EndpointId} from '@snipestage/types/ids.js';
 import type {DataCentreReach} from './data_centre_reach.js';
@@ -13,28 +13,28 @@
 export interface PlacementRequest {
   readonly route: Route;
   readonly prompt: Prompt | undefined;
-  /** Of the instance that asks. */
+  /** Data centre of this instance. */
   readonly dataCentre: DataCentreId;
-  /** Asked already for this request. */
+  /** Endpoints that were tried for this request. */
   readonly excluded: ReadonlySet<EndpointId>;
-  /** Data centres into which this request has found no way. */
+  /** Data centres that this request could not reach. */
   readonly avoided: ReadonlySet<DataCentreId>;
   readonly nowMs: number;
 }
 
-/** The engines among which a request's engine was chosen. */
+/** Sizes of the groups from which a request's engine was chosen. */
 export interface PlacementGroup {
   /** Side of the split of engines; `all` where there is none. */
   readonly side: 'short' | 'long' | 'all';
   /** Engines of that side. */
   readonly engines: number;
-  /** Engines that the request could go to: a side may be widened. */
+  /** Engines that the request may use; more when the side is widened. */
   readonly candidates: number;
   /** Engines of the service that could be used. */
   readonly usable: number;
 }
 
-/** Where a request goes. */
+/** The chosen endpoint. */
 export interface Placed {
   readonly endpoint: ServingEndpoint;
   /** Undefined for services other than engines. */
@@ -43,7 +43,7 @@
   readonly cacheSource?: ServingEndpoint;
 }
 
-/** Picks an endpoint for a request; it keeps no state of its own requests. */
+/** Chooses an endpoint for a request; doesn't track requests in flight. */
 export abstract class Placement {
   /** @returns undefined when no candidate is left. */
   abstract choose(
@@ -52,19 +52,20 @@
   ): Placed | undefined;
 }
 
-/** What placements go by. */
-export interface PlacementBeliefs {
+/** State that placements read. */
+export interface PlacementState {
   readonly monitor: EndpointMonitor;
   readonly reach: DataCentreReach;
-  /** Limits what cold endpoints get; without it none counts as cold. */
+  /** Limits requests to cold endpoints; without it none counts as cold. */
   readonly warmup?: WarmupGate;
   /** Rate limits of endpoints; without it none is limited. */
   readonly rateLimits?: EndpointRateLimits;
 }
 
 /**
- * Candidates that were not asked yet and could be reached lately. When none
- * could, all that were not asked: a wrong belief must not refuse a request.
+ * Candidates that were not tried yet and count as reachable, if possible
+ * outside of avoided data centres. When none counts as reachable, all that were
+ * not tried: an outdated failure must not cause a refusal.
  *
  * @example
  * const usable = findUsable(candidates, request, {monitor, reach});
@@ -72,7 +73,7 @@
 export function findUsable(
   candidates: readonly ServingEndpoint[],
   request: PlacementRequest,
-  {monitor, reach}: PlacementBeliefs,
+  {monitor, reach}: PlacementState,
 ): readonly ServingEndpoint[] {
   const {excluded, avoided, nowMs} = request;
   const untried = candidates.filter(({id}) => !excluded.has(id));
@@ -86,18 +87,18 @@
 }
 
 /**
- * The endpoints of a group whose rate limits admit a request, or else those of all
- * usable ones. The result may be empty: a limit holds even when nothing else is
- * left.
+ * The endpoints of a group whose rate limits admit a request, or else those of
+ * all usable ones. The result may be empty: a limit holds even when nothing
+ * else is left.
  *
  * @example
- * const open = leaveOutRateLimited(group, usable, request, beliefs);
+ * const open = leaveOutRateLimited(group, usable, request, state);
  */
 export function leaveOutRateLimited(
   group: readonly ServingEndpoint[],
   usable: readonly ServingEndpoint[],
   {nowMs}: PlacementRequest,
-  {rateLimits}: PlacementBeliefs,
+  {rateLimits}: PlacementState,
 ): readonly ServingEndpoint[] {
   if (rateLimits === undefined) return group;
   const mayAdmit = ({id}: ServingEndpoint) => rateLimits.mayAdmit(id, nowMs);
@@ -106,19 +107,19 @@
 }
 
 /**
- * The endpoints of a group without the cold ones, as long as a warm one has room:
- * in the group, or else among all that are usable. Then cold ones get what they
- * bear. The group is formed with the cold ones, so that it stays the same while
- * they warm up.
+ * The whole group if none of it is cold; its warm endpoints if one has room, or
+ * else the warm ones with room among all usable endpoints. When there are none,
+ * the cold ones that may still be sent a request, or else all warm ones. The group
+ * is formed with the cold ones, so that it stays the same while they warm up.
  *
  * @example
- * const admitted = leaveOutCold(group, usable, request, beliefs);
+ * const admitted = leaveOutCold(group, usable, request, state);
  */
 export function leaveOutCold(
   group: readonly ServingEndpoint[],
   usable: readonly ServingEndpoint[],
   {nowMs}: PlacementRequest,
-  {monitor, warmup}: PlacementBeliefs,
+  {monitor, warmup}: PlacementState,
 ): readonly ServingEndpoint[] {
   if (warmup === undefined) return group;
   const isWarm = ({id}: ServingEndpoint): boolean => !warmup.isCold(id, nowMs);
--- a/packages/routing/src/prefix_holders.test.ts
+++ b/packages/routing/src/prefix_holders.test.ts
@@ -16,9 +16,9 @@
   };
 }
 
-test('a beginning is found where it went last, the deepest part first', t => {
-  // Short beginnings go wherever there is least to do. Read anew at each engine
-  // that they come to, they cost as much as the questions behind them.
+test('a prefix is found at the engine it was last sent to, the deepest part first', t => {
+  // Short prefixes are sent to the least loaded engine. Processed again at each
+  // engine, they cost as much as the questions after them.
   const holders = new PrefixHolders();
   holders.note(makePrompt('rules', 'manual', 'mine'), ONE);
   holders.note(makePrompt('rules', 'ledger', 'theirs'), OTHER);
@@ -27,7 +27,7 @@
   t.is(find('rules', 'manual', 'new'), ONE);
   t.is(find('rules', 'unknown', 'new'), OTHER);
   t.is(find('unknown', 'new'), undefined);
-  t.is(find('mine'), undefined, "the last part is nobody else's");
+  t.is(find('mine'), undefined, 'the last part is not shared');
 });
 
 test('an engine that is gone holds nothing', t => {
--- a/packages/routing/src/prefix_holders.ts
+++ b/packages/routing/src/prefix_holders.ts
@@ -1,24 +1,24 @@
-/** Which engine was last sent a shared part of a prompt. */
+/** Remembers to which engine each shared part of a prompt was last sent. */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
 import type {Prompt, PromptPartId} from './prompt.js';
 
-/** What {@link PrefixHolders} are made from; default in the brackets. */
+/** Options of {@link PrefixHolders}; default in brackets. */
 export interface PrefixHoldersOptions {
-  /** Parts that are remembered (4,096): some minutes' worth. */
+  /** Number of parts that are remembered (4,096): those of some minutes. */
   readonly maxParts?: number;
 }
 
 const DEFAULT_MAX_PARTS = 4096;
 
 /**
- * Remembers, for each shared part, the engine that this instance sent it to
- * last. That engine has the part in its cache, wherever the split or a spill
- * would put it now, and another one can fetch it from there in a fraction of the
- * time that it takes to read it.
+ * Remembers, for each shared part, the engine to which this instance sent it
+ * last. That engine has the part in its cache, whichever engine the split or a
+ * spill-over would choose now, and another one can fetch it from there in a
+ * fraction of the time that it takes to process it.
  */
 export class PrefixHolders {
-  /** In the order in which they were last noted, oldest first. */
+  /** Ordered by the time of the last note, oldest first. */
   private readonly holders = new Map<PromptPartId, EndpointId>();
   private readonly maxParts: number;
 
@@ -27,7 +27,8 @@
   }
 
   /**
-   * The prompt goes to this engine, which will have its shared parts.
+   * Records that the prompt is sent to an engine, which caches its shared
+   * parts.
    *
    * @example
    * holders.note(prompt, endpoint.id);
@@ -44,7 +45,7 @@
   }
 
   /**
-   * The engine that has most of the prompt's beginning, as far as is known.
+   * The usable engine that was last sent the longest beginning of the prompt.
    *
    * @example
    * const holder = holders.find(prompt, id => engines.has(id));
--- a/packages/routing/src/prompt.ts
+++ b/packages/routing/src/prompt.ts
@@ -1,4 +1,4 @@
-/** What a request for a model engine says about its prompt. */
+/** Description of a prompt by the request for a model engine. */
 
 import type {Branded} from '@snipestage/types/ids.js';
 
@@ -13,7 +13,7 @@
 export interface Prompt {
   readonly tokens: number;
   readonly maxOutputTokens: number;
-  /** The caller's own estimate; right at the median, often far off. */
+  /** The caller's estimate; accurate at the median, often far off. */
   readonly expectedOutputTokens: number | undefined;
   /** In order; the last belongs to this request or its session alone. */
   readonly parts: readonly PromptPart[];
@@ -38,8 +38,8 @@
 
 /**
  * Work in units of prompt tokens. A generated token takes a whole step of the
- * batch, which an engine shares between its requests; the platform's own
- * tariff counts one as ten prompt tokens, and that ratio is used here.
+ * batch, which an engine shares between its requests; the platform's price for
+ * one is that of ten prompt tokens, and that ratio is used here.
  *
  * @param cached whether the shared parts are in the engine's cache.
  * @example
--- a/packages/routing/src/prompt_placement.test.ts
+++ b/packages/routing/src/prompt_placement.test.ts
@@ -63,9 +63,9 @@
   })?.endpoint.id;
 }
 
-test('long prompts keep away from engines that serve short pauses', t => {
-  // An engine reads a long prompt between the tokens of all its streams. On a
-  // counter a customer sees the answer stutter for half a second each time.
+test('long prompts are not sent to engines that serve short pauses', t => {
+  // Guards against answers that stutter for half a second: an engine processes
+  // a long prompt between the tokens of all its streams.
   const placement = makePlacement();
   const quotes = new Set<string | undefined>();
   for (let index = 0; index < 200; index++) {
@@ -77,16 +77,16 @@
   t.true(quotes.size >= 3);
 });
 
-test('requests that share a beginning go to the same engine', t => {
+test('requests that share a prefix go to the same engine', t => {
   const prompt = makePrompt('manual-7', 13_000, 3700);
   const first = place(makePlacement(), QUOTE, prompt);
   const other = place(makePlacement(), QUOTE, prompt);
   t.is(first, other);
 });
 
-test('a hot beginning spills over when its engine has more than its share', t => {
-  // One manual becomes popular within a minute. Sent to the engine that has it
-  // alone, all its readers would wait in one queue beside idle engines.
+test('prompts with a hot prefix spill over when its engine has more than its share', t => {
+  // Guards against one long queue beside idle engines: a prefix becomes popular
+  // within a minute, and a single engine has it in its cache.
   const monitor = new EndpointMonitor();
   const placement = makePlacement(monitor);
   const prompt = makePrompt('hot', 13_000, 3700);
@@ -96,9 +96,9 @@
   t.not(place(placement, QUOTE, prompt), primary);
 });
 
-test('a primary engine without a free place is passed over while others have some', t => {
-  // Guards against queues and preemptions at full primary engines on busy days: there the
-  // bound by the mean load is above what an engine can run.
+test('a full primary engine is skipped while others have room', t => {
+  // Guards against queues and preemptions at full primary engines at high load,
+  // when the bound by the mean load is above what an engine can run.
   const monitor = new EndpointMonitor();
   const placement = makePlacement(monitor);
   const engines = ENGINES.map(({id}) => makeEndpoint(id, {capacity: 16}));
@@ -111,7 +111,7 @@
   t.not(place(placement, QUOTE, prompt, engines), primary);
 });
 
-test('a failing primary engine is passed over', t => {
+test('a failing primary engine is skipped', t => {
   const monitor = new EndpointMonitor();
   const placement = makePlacement(monitor);
   const prompt = makePrompt('manual-7', 13_000, 3700);
@@ -120,10 +120,11 @@
   t.not(place(placement, QUOTE, prompt), primary);
 });
 
-test('an engine that lacks a beginning can fetch it from the next in rank', t => {
-  // An engine has just booted and is the primary engine of a seventh of all manuals from
-  // now on. Reading them anew would hold up everything else on it, while the
-  // engines that served them until now have them in their caches.
+test('an engine that lacks a prefix can fetch it from the next in rank', t => {
+  // Guards against delays of all requests on an engine that has just booted: it
+  // becomes the primary engine of a seventh of all prefixes and would process
+  // them again, while the engines that served them before have them in their
+  // caches.
   const placement = makePlacement();
   const prompt = makePrompt('manual-7', 13_000, 3700);
   const request = {
@@ -140,7 +141,7 @@
 });
 
 test('load pattern: engines of one side of the split come back cold', t => {
-  // Guards against long prompts that move to the engines of short pauses meanwhile.
+  // Guards against long prompts that move to engines of short pauses meanwhile.
   const warmup = new WarmupGate({
     limitOf: () => ({durationMs: 3000, requestsPerS: 7}),
     readInstances: () => 65,
@@ -162,8 +163,8 @@
   t.false(after.quotes.has(before.counter));
 });
 
-test('a short request leaves its side when that has too little room', t => {
-  // Guards against urgent requests that wait at full engines while others are idle.
+test('a short request may leave its side when that has too little room', t => {
+  // Guards against urgent requests at full engines while others are idle.
   const monitor = new EndpointMonitor();
   const placement = makePlacement(monitor);
   const prompt = makePrompt('c', 300, 1100);
@@ -179,7 +180,7 @@
 });
 
 test('short requests with a primary engine stay there while their side is widened', t => {
-  // Guards against reading long beginnings again at engines that join for seconds.
+  // Guards against processing prefixes again at engines that join for seconds.
   const prompt = makePrompt('menu', 1200, 300);
   const monitor = new EndpointMonitor();
   const placement = makePlacement(monitor);
--- a/packages/routing/src/prompt_placement.ts
+++ b/packages/routing/src/prompt_placement.ts
@@ -1,4 +1,4 @@
-/** Placement of prompts on model engines. */
+/** Places prompts on model engines. */
 
 import {rankByRendezvous} from '@snipestage/policy/rendezvous.js';
 import type {EndpointId} from '@snipestage/types/ids.js';
@@ -19,7 +19,7 @@
   leaveOutRateLimited,
   Placement,
   type Placed,
-  type PlacementBeliefs,
+  type PlacementState,
   type PlacementGroup,
   type PlacementRequest,
 } from './placement.js';
@@ -28,10 +28,10 @@
 import {chooseBySample} from './sampled_choice.js';
 import type {ServingEndpoint} from './serving_endpoint.js';
 
-/** What a {@link PromptPlacement} is made from. */
-export interface PromptPlacementOptions extends PlacementBeliefs {
+/** Options of {@link PromptPlacement}. */
+export interface PromptPlacementOptions extends PlacementState {
   readonly demand: DemandSource;
-  /** What this instance alone has seen in the last seconds; shows bursts. */
+  /** Demand of the last seconds at this instance alone; shows bursts. */
   readonly recent: DemandMeter;
   /** At least 0 and below 1. */
   readonly random?: () => number;
@@ -40,49 +40,50 @@
 interface SplitSide {
   readonly side: PlacementGroup['side'];
   readonly engines: readonly ServingEndpoint[];
-  /** With engines of the other side while this one has too little room. */
+  /** Includes engines of the other side while this one has too little room. */
   readonly widened: readonly ServingEndpoint[];
 }
 
-/** Where a request may go. */
+/** Engines that may get a request. */
 interface Candidates {
-  /** Engines that keep the beginnings of its prompts. */
+  /** Engines among which prompts with long prefixes are distributed. */
   readonly group: readonly ServingEndpoint[];
-  /** Where it goes when it has no primary engine. */
+  /** Engines for a request without a primary engine that has room. */
   readonly widened: readonly ServingEndpoint[];
   readonly usable: readonly ServingEndpoint[];
 }
 
-/** An engine takes at most so many times the mean load for its prefixes. */
-const LOAD_BOUND = 1.5;
+/** Up to this multiple of the mean load, an engine gets prompts by prefix. */
+const LOAD_BOUND_FACTOR = 1.5;
 /**
- * Requests above the bounded mean before it holds: with few requests an engine,
- * the estimates vary by some, and prompts would spill over for nothing.
+ * Requests added to that bound: with few requests an engine, the estimates vary
+ * by some, and prompts would spill over needlessly.
  */
-const LOAD_SLACK = 8;
+const LOAD_SLACK_REQUESTS = 8;
 /** Below this a cached prefix saves less than an uneven load costs. */
 const MIN_SHARED_TOKENS = 1000;
 const FAILURE_COST_IN_REQUESTS = 12;
 const RANDOM_COST_IN_REQUESTS = 0.5;
-/** Share of the places of the short side that may be taken before it is widened. */
+/** Utilization of the short side above which it is widened. */
 const MAX_SHORT_UTILIZATION = 0.35;
 /** Engines above this error rate are skipped for prefix affinity. */
 const MAX_FAILURE_SHARE = 0.5;
 
 /**
- * Answers two load patterns.
+ * Handles two load patterns.
  *
- * Long prompts beside streams with short pauses: an engine reads prompts between
- * the tokens of all that it runs, so one long prompt makes dozens of streams
- * late. The engines are split: the first few in an order that all instances
+ * Long prompts beside streams with short pauses: an engine processes prompts
+ * between the tokens of all its requests, so one long prompt delays dozens of
+ * streams. The engines are split: the first few in an order that all instances
  * share serve routes with short pauses and short prompts, the rest all others,
- * by the share of work that each group brings. Short requests overflow to the
- * engines next in that order: their callers are the least patient, and on a long
- * side with room they disturb little.
+ * by the share of work that each group causes. Short requests overflow to the
+ * next engines in that order: their callers wait the shortest time, and on a
+ * long side with room they delay others little.
  *
- * Many prompts that share a long beginning: an engine that has it in its cache
- * reads a fraction. Rendezvous hashing sends them to the same engine from all
- * instances without a call, unless that engine has more than its share.
+ * Many prompts that share a long prefix: an engine that has it in its cache
+ * processes only the rest. Rendezvous hashing sends them to the same engine
+ * from all instances without a call, unless that engine has more than its
+ * share.
  */
 export class PromptPlacement extends Placement {
   private readonly monitor: EndpointMonitor;
@@ -143,10 +144,10 @@
   }
 
   /**
-   * Names the engine that this instance sent the beginning to last as the place
-   * to fetch it from. Short beginnings go wherever there is least to do; read
-   * anew at each engine that they come to, they would cost as much as the
-   * questions behind them. Long ones have a primary engine that all instances know.
+   * Adds the engine to which this instance last sent the prefix as cache
+   * source. Short prefixes are sent to the least loaded engine; processed again
+   * at each engine, they would cost as much as the questions after them. Long
+   * ones have a primary engine that all instances know.
    */
   private fetchFromHolder(
     placed: Placed,
@@ -203,21 +204,22 @@
       ranked.map(({id}) => [id, this.monitor.estimateLoad(id, nowMs)]),
     );
     const total = [...loads.values()].reduce((sum, load) => sum + load, 0);
-    const bound = (LOAD_BOUND * (total + 1)) / group.length + LOAD_SLACK;
-    const sound = ranked.filter(
+    const bound =
+      (LOAD_BOUND_FACTOR * (total + 1)) / group.length + LOAD_SLACK_REQUESTS;
+    const healthy = ranked.filter(
       ({id}) => this.monitor.failureShare(id, nowMs) < MAX_FAILURE_SHARE,
     );
     const hasRoom = ({id, capacity}: ServingEndpoint) =>
       loads.get(id)! < Math.min(bound, capacity);
     const endpoint =
-      sound.find(hasRoom) ?? this.chooseByLoad(widened, request)?.endpoint;
+      healthy.find(hasRoom) ?? this.chooseByLoad(widened, request)?.endpoint;
     if (endpoint === undefined) return undefined;
-    // The first of the others: the primary engine when the prompt spills over,
-    // else the one that was primary before an endpoint was added.
-    return {endpoint, cacheSource: sound.find(({id}) => id !== endpoint.id)};
+    // The first other engine: the primary one when the prompt spills over, else
+    // the one that was primary before an endpoint was added.
+    return {endpoint, cacheSource: healthy.find(({id}) => id !== endpoint.id)};
   }
 
-  /** All instances rank the engines alike for a shared beginning. */
+  /** Ranks engines for a shared prefix in the same order on all instances. */
   private rankByPrefix(
     group: readonly ServingEndpoint[],
     prompt: Prompt,
--- a/packages/routing/src/relay_roster.test.ts
+++ b/packages/routing/src/relay_roster.test.ts
@@ -27,16 +27,16 @@
   };
 }
 
-test('few instances follow the store by themselves', t => {
+test('a small number of instances uses no relays', t => {
   const roster = makeRoster('one');
   t.false(roster.pays(undefined));
   t.false(roster.pays(9));
   t.true(roster.pays(18));
 });
 
-test('of those that might take a vacant slot one comes first', t => {
-  // Two dozen instances start at the same moment. If all wrote at once, all but
-  // one of these writes would be in vain.
+test('few candidates claim a vacant slot at the same time', t => {
+  // Guards against useless writes: two dozen instances start at the same
+  // moment, and of the claims that they write at once all but one fail.
   const rosters = Array.from({length: 24}, (_, index) =>
     makeRoster(`akl-a-${index}`, index / 24),
   );
@@ -63,7 +63,7 @@
   t.is(other.choose(0), undefined);
 });
 
-test('an instance moves on from a relay that failed, and comes back later', t => {
+test('an instance leaves a relay that failed, and follows it again later', t => {
   const roster = makeRoster('one');
   roster.learn(slot(0, 'first'));
   roster.learn(slot(1, 'second'));
@@ -74,9 +74,9 @@
   t.is(roster.choose(7000)!.instance, before);
 });
 
-test('a slot whose relay has gone is taken over when none is left', t => {
-  // Both relays of a data centre were killed. Everyone follows the store alone
-  // until an instance takes a slot.
+test('a slot is taken over when no relay of the data centre is left', t => {
+  // Both relays of a data centre were killed. All its instances poll the store
+  // themselves until one of them takes a slot.
   const roster = makeRoster('one');
   roster.learn(slot(0, 'first', 4));
   roster.learn(slot(1, 'second', 5));
--- a/packages/routing/src/relay_roster.ts
+++ b/packages/routing/src/relay_roster.ts
@@ -1,9 +1,9 @@
-/** Which instances follow the platform's store for others, and who should. */
+/** Tracks which instances relay changes of the platform's store to others. */
 
 import {hashText} from '@snipestage/policy/rendezvous.js';
 import type {DataCentreId, InstanceId} from '@snipestage/types/ids.js';
 
-/** A slot for a relay, and who has taken it. */
+/** A slot for a relay, and its holder. */
 export interface RelaySlot {
   readonly dataCentre: DataCentreId;
   readonly number: number;
@@ -12,74 +12,74 @@
   readonly version: number;
 }
 
-/** Who relays, and where others reach it: `<IP number>:<port>`. */
+/** A relay, and the address at which others reach it: `<IP number>:<port>`. */
 export interface RelayHolder {
   readonly instance: InstanceId;
   readonly address: string;
 }
 
-/** What a {@link RelayRoster} is made from; defaults in the brackets. */
+/** Options of {@link RelayRoster}; defaults in brackets. */
 export interface RelayRosterOptions {
   readonly instance: InstanceId;
   readonly dataCentre: DataCentreId;
   readonly dataCentres: number;
-  /** 0 to 1: how well this instance's machine can serve others. */
+  /** 0 to 1: suitability of this instance's machine for relaying. */
   readonly strength: number;
   /** Relays in each data centre (2): one may be killed, cut off or busy. */
   readonly slots?: number;
-  /** Instances for each relay before it pays to have one (3). */
+  /** Instances for each relay from which relaying saves calls (3). */
   readonly minFollowers?: number;
-  /** How long a relay that failed is left alone (6,000 ms). */
+  /** How long a relay that failed is not followed (6,000 ms). */
   readonly suspectForMs?: number;
 }
 
-const DEFAULT_SLOTS = 2;
+const DEFAULT_SLOT_COUNT = 2;
 const DEFAULT_MIN_FOLLOWERS = 3;
 const DEFAULT_SUSPECT_FOR_MS = 6000;
 /**
- * Candidates for a slot come one after the other over this time, so that mostly
+ * Candidates claim a slot one after the other over this time, so that usually
  * one writes and the others see it: each write is a priced call.
  */
 const CLAIM_SPREAD_MS = 3000;
 /**
- * Share of that time by which strong machines come first: a relay sends each
- * configuration, tens of kilobytes, to a dozen others, which takes a link of
- * 7 Mbit/s a second.
+ * Share of that time that depends on the machine's strength, so that strong
+ * ones come first: a relay sends each configuration, tens of kilobytes, to a
+ * dozen others, which takes a link of 7 Mbit/s a second.
  */
 const STRENGTH_SHARE = 0.7;
 const HASH_RANGE = 2 ** 32;
 
 /**
- * Each instance that follows the store asks it again after each change. Where
- * dozens do, it is cheaper that two in each data centre poll and publish to the others.
- * Sixty-seven instances made 8,000 calls in 95 s by themselves.
+ * Each instance that follows the store polls it again after each change. With
+ * dozens of instances it is cheaper if two in each data centre poll it and
+ * publish to the others. Without relays 67 instances made 8,000 calls in 95 s.
  */
 export class RelayRoster {
   private readonly slots = new Map<number, RelaySlot>();
   private readonly suspectedAtMs = new Map<InstanceId, number>();
   private readonly minFollowers: number;
-  /** The slot that could be claimed, and since when. */
+  /** The slot that may be claimed, and since when. */
   private open:
     {readonly slot: RelaySlot; readonly sinceMs: number} | undefined;
 
   constructor(private readonly options: RelayRosterOptions) {
     this.minFollowers = options.minFollowers ?? DEFAULT_MIN_FOLLOWERS;
-    const count = options.slots ?? DEFAULT_SLOTS;
+    const count = options.slots ?? DEFAULT_SLOT_COUNT;
     for (let number = 0; number < count; number += 1) {
       this.slots.set(number, this.vacant(number, 0));
     }
   }
 
   /**
-   * Whether there are enough instances for relays.
+   * Whether there are enough instances for relays to save calls.
    *
-   * @param instances undefined until they were counted.
+   * @param instances undefined until they have been counted.
    */
   pays(instances: number | undefined): boolean {
     return instances !== undefined && instances >= this.paysFrom;
   }
 
-  /** The number of instances from which relays pay. */
+  /** The number of instances from which relays save calls. */
   get paysFrom(): number {
     return this.slots.size * this.minFollowers * this.options.dataCentres;
   }
@@ -89,7 +89,7 @@
     return followers >= this.minFollowers;
   }
 
-  /** Takes in a slot as the store has it; slots elsewhere don't matter. */
+  /** Records a slot as read from the store; ignores other data centres. */
   learn(slot: RelaySlot): void {
     if (slot.dataCentre !== this.options.dataCentre) return;
     const known = this.slots.get(slot.number);
@@ -108,16 +108,16 @@
     );
   }
 
-  /** A relay could not be reached, or has gone silent. */
+  /** A relay could not be reached, or stopped sending. */
   noteFailed(relay: InstanceId, nowMs: number): void {
     this.suspectedAtMs.set(relay, nowMs);
   }
 
   /**
-   * The relay to follow: the first that is sound, so that the others need not
-   * ask the store for anybody.
+   * The relay to follow: the first that hasn't failed recently, so that the
+   * other relays need not poll the store for followers.
    *
-   * @returns undefined when there is none that is sound.
+   * @returns undefined when there is none.
    */
   choose(nowMs: number): RelayHolder | undefined {
     return [...this.slots.values()]
@@ -127,8 +127,8 @@
   }
 
   /**
-   * A slot that this instance should take now: a vacant one, or any when
-   * no relay has been sound for a while.
+   * A slot that this instance should claim now: a vacant one, or the first when
+   * all relays have failed recently.
    *
    * @param onlyFirst whether to consider only the first slot.
    */
@@ -140,7 +140,7 @@
       return undefined;
     }
     if (this.open?.slot !== slot) this.open = {slot, sinceMs: nowMs};
-    if (nowMs - this.open.sinceMs < this.turnMs(slot)) return undefined;
+    if (nowMs - this.open.sinceMs < this.claimDelayMs(slot)) return undefined;
     this.open = undefined;
     return slot;
   }
@@ -152,7 +152,7 @@
     return vacant ?? (isServed ? undefined : slots[0]);
   }
 
-  private turnMs(slot: RelaySlot): number {
+  private claimDelayMs(slot: RelaySlot): number {
     const hash = hashText(`${slot.number}/${this.options.instance}`);
     const weakness = 1 - this.options.strength;
     const share =
--- a/packages/routing/src/route.ts
+++ b/packages/routing/src/route.ts
@@ -1,4 +1,4 @@
-/** What an operator configures for pass-through routes. */
+/** Configuration of pass-through routes. */
 
 import type {
   Branded,
@@ -11,7 +11,7 @@
 export type RouteId = Branded<string, 'RouteId'>;
 
 /**
- * What may be done with a request after an attempt failed.
+ * Whether a request may run again after a failed attempt.
  *
  * - `idempotent`: it may run more than once.
  * - `non_idempotent`: it runs at most once.
@@ -34,19 +34,19 @@
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** The longest that a caller is kept waiting. */
+  /** Longest time for which a caller waits for the answer. */
   readonly timeoutMs: number;
-  /** Until the answer, for streams until the first event. */
+  /** Target time until the answer, for streams until the first event. */
   readonly latencyTargetMs: number;
-  /** The longest pause between events that is still on time. */
+  /** Longest pause between events that meets the target. */
   readonly pauseTargetMs: number | undefined;
-  /** 0 is served first. */
+  /** Routes with a lower tier are more urgent; 0 is served first. */
   readonly tier: number;
   /** Endpoints that one request may run on. */
   readonly maxAttempts: number;
-  /** Needs no key. */
+  /** Whether callers need no key. */
   readonly isPublic: boolean;
-  /** A broken stream may go on at another endpoint. */
+  /** Whether a broken stream may be resumed at another endpoint. */
   readonly isResumable: boolean;
 }
 
@@ -61,23 +61,23 @@
   readonly priceByDataCentre: ReadonlyMap<DataCentreId, number>;
 }
 
-/** What is known of a service whose endpoints are model engines. */
+/** Properties of a service whose endpoints are model engines. */
 export interface EngineDescription {
   /** Requests that one engine works on at once. */
   readonly batchSize: number;
   readonly cacheTokens: number;
 }
 
-/** What endpoints of a service bear while they are cold after a start. */
+/** Load that endpoints of a service can take while cold after a start. */
 export interface WarmupLimit {
   readonly durationMs: number;
-  /** Requests a second that one cold endpoint bears. */
+  /** Requests a second that one cold endpoint can take. */
   readonly requestsPerS: number;
 }
 
 export interface Service {
   readonly id: ServiceId;
-  /** Undefined where endpoints bear their full load at once. */
+  /** Undefined if endpoints can take their full load from the start. */
   readonly warmup?: WarmupLimit;
   readonly engine: EngineDescription | undefined;
   readonly scaling: ScalingLimits | undefined;
@@ -94,7 +94,7 @@
 export interface ClientAccountKeys {
   readonly id: ClientAccountId;
   readonly keys: readonly string[];
-  /** Goes before the route's tier. */
+  /** Ranks requests of routes of one tier; that tier is used if undefined. */
   readonly tier: number | undefined;
 }
 
--- a/packages/routing/src/route_table.test.ts
+++ b/packages/routing/src/route_table.test.ts
@@ -29,9 +29,9 @@
   t.is(table.findRoute('other.example', '/a/'), undefined);
 });
 
-test('a key that was withdrawn is known no more in the next version', t => {
-  // A shop's key has leaked and the operator takes it away. If an instance
-  // kept old keys, whoever found it would go on at the shop's expense.
+test('a withdrawn key is unknown in the next version', t => {
+  // Guards against use of a leaked key at the account's expense after the
+  // operator has withdrawn it.
   t.like(makeTable().findAccount('k'), {id: 'shop'});
   t.is(makeTable({clientAccounts: []}).findAccount('k'), undefined);
   t.true(makeTable({clientAccounts: []}).needsKeys);
--- a/packages/routing/src/route_table.ts
+++ b/packages/routing/src/route_table.ts
@@ -10,7 +10,7 @@
 import {UrgencyScale} from './urgency_scale.js';
 
 /**
- * A configuration indexed for look-ups; a new one is made for each version.
+ * A configuration indexed for look-ups; each version gets a new table.
  *
  * A look-up costs one map access for each slash of the path, whatever the
  * number of routes.
--- a/packages/routing/src/sampled_choice.test.ts
+++ b/packages/routing/src/sampled_choice.test.ts
@@ -21,14 +21,14 @@
 }
 
 test('hundreds of instances with one report do not choose one engine', t => {
-  // Guards against herding: the least loaded of a report is everybody's choice.
+  // Guards against herding: all instances choose the least loaded of a report.
   const random = measure('random', 500);
   t.true(measure('least_reported', 500) > 2 * random);
   t.true(measure('sampled', 500) < random);
   t.true(measure('sampled', 1000) <= random);
 });
 
-test('engines with places left are looked at more often', t => {
+test('engines with free capacity are sampled more often', t => {
   // Guards against urgent requests at full engines while a few have room.
   const random = createSeededRandom(3);
   const rooms = new Map([
--- a/packages/routing/src/sampled_choice.ts
+++ b/packages/routing/src/sampled_choice.ts
@@ -2,7 +2,7 @@
 
 import {leastBy} from './placement.js';
 
-/** How the items of a {@link chooseBySample} are judged. */
+/** Options of {@link chooseBySample}. */
 export interface SampledItems<Item> {
   readonly items: readonly Item[];
   /** Lower is better. */
@@ -15,7 +15,9 @@
 
 /** Number of candidates that are compared. */
 const SAMPLE_SIZE = 2;
-/** Full items are still sampled sometimes, as their load may be outdated. */
+/**
+ * Weight of full items, whose load may be outdated; they are sampled rarely.
+ */
 const MIN_ROOM = 0.25;
 
 /**
--- a/packages/routing/src/serving_endpoint.ts
+++ b/packages/routing/src/serving_endpoint.ts
@@ -15,16 +15,16 @@
   readonly service: ServiceId;
   readonly address: EndpointAddress;
   readonly dataCentre: DataCentreId;
-  /** Requests that it works on at once. */
+  /** Requests that it processes at once. */
   readonly capacity: number;
   readonly isLeaving: boolean;
   /** May be taken away at short notice. */
   readonly isCheap: boolean;
   /**
-   * When this life of it began. An endpoint that starts anew under its old id
-   * knows nothing of before.
+   * Start of this incarnation. An endpoint that restarts under its old id has
+   * lost its state.
    */
   readonly bornEpochMs: number | undefined;
-  /** How long it stays cold, counted from when it said so (0). */
+  /** How long it stays cold, counted from its report (0). */
   readonly warmupLeftMs?: number;
 }
--- a/packages/routing/src/shutdown.test.ts
+++ b/packages/routing/src/shutdown.test.ts
@@ -2,54 +2,54 @@
 import {Shutdown} from './shutdown.js';
 
 const SIGNAL_MS = 1000;
-/** Requests have 8,000 ms less what is kept for the last writes. */
+/** Requests have 8,000 ms less the margin for the last writes. */
 const SHUTDOWN = {graceMs: 8000};
 
 const ARRIVALS = [
-  {what: 'before the signal', atMs: 0, patienceMs: 60_000, isTaken: true},
+  {what: 'before the signal', atMs: 0, patienceMs: 60_000, isAdmitted: true},
   {
-    what: 'a long one while the balancer still sends',
+    what: 'a long request while the balancer still sends requests',
     atMs: SIGNAL_MS + 2000,
     patienceMs: 60_000,
-    isTaken: true,
+    isAdmitted: true,
   },
   {
-    what: 'a long one later, on a connection that is still open',
+    what: 'a long request later, on a connection that is still open',
     atMs: SIGNAL_MS + 2600,
     patienceMs: 12_000,
-    isTaken: false,
+    isAdmitted: false,
   },
   {
-    what: 'a short one that ends within the grace time',
+    what: 'a short request that ends within the grace time',
     atMs: SIGNAL_MS + 6300,
     patienceMs: 1000,
-    isTaken: true,
+    isAdmitted: true,
   },
   {
-    what: 'a short one that does not',
+    what: 'a short request that does not',
     atMs: SIGNAL_MS + 6700,
     patienceMs: 1000,
-    isTaken: false,
+    isAdmitted: false,
   },
   {
-    what: 'anything after the grace time',
+    what: 'any request after the grace time',
     atMs: SIGNAL_MS + 7500,
     patienceMs: 1,
-    isTaken: false,
+    isAdmitted: false,
   },
 ];
 
-for (const {what, atMs, patienceMs, isTaken} of ARRIVALS) {
-  test(`a stop ${isTaken ? 'takes' : 'refuses'} ${what}`, t => {
+for (const {what, atMs, patienceMs, isAdmitted} of ARRIVALS) {
+  test(`a shutdown ${isAdmitted ? 'admits' : 'refuses'} ${what}`, t => {
     const shutdown = new Shutdown(SHUTDOWN);
     if (atMs >= SIGNAL_MS) shutdown.begin(SIGNAL_MS);
     const endsAtMs = atMs + patienceMs;
-    const taken = shutdown.mayTake({nowMs: atMs, endsAtMs, usualMs: 2000});
-    t.is(taken, isTaken);
+    const admitted = shutdown.mayTake({nowMs: atMs, endsAtMs, usualMs: 2000});
+    t.is(admitted, isAdmitted);
   });
 }
 
-test('a second signal does not begin the grace time anew', t => {
+test('a second signal does not restart the grace time', t => {
   const shutdown = new Shutdown(SHUTDOWN);
   shutdown.begin(SIGNAL_MS);
   shutdown.begin(SIGNAL_MS + 5000);
@@ -57,9 +57,9 @@
   t.true(shutdown.isGraceOver(SIGNAL_MS + 7400));
 });
 
-test('a grace time that is shorter than the balancer needs takes what ends in it', t => {
-  // The balancer still sends when the grace time is nearly over. Answers that
-  // usually take longer than what is left would be cut.
+test('within a grace time shorter than the balancer needs only requests that end in it are admitted', t => {
+  // Guards against answers that are cut: the balancer still sends requests when
+  // the grace time is nearly over.
   const shutdown = new Shutdown({graceMs: 2000});
   shutdown.begin(0);
   const long = {nowMs: 500, endsAtMs: 10_500};
--- a/packages/routing/src/shutdown.ts
+++ b/packages/routing/src/shutdown.ts
@@ -1,26 +1,26 @@
-/** How far a stop of this instance has come, and what it still takes. */
+/** Progress of this instance's shutdown, and which requests it still admits. */
 
-/** What a {@link Shutdown} is made from. */
+/** Options of {@link Shutdown}. */
 export interface ShutdownOptions {
-  /** Between the signal and the end of the process by force. */
+  /** Time between the signal and the forced end of the process. */
   readonly graceMs: number;
 }
 
-/** The end of the grace time is left to write what was counted. */
+/** End of the grace time that is reserved for writing counts. */
 const GRACE_MARGIN_MS = 600;
-/** The balancer asks each second and acts on the second miss. */
+/** The balancer polls each second and acts on the second failure. */
 const BALANCER_LAG_MS = 2200;
 
-/** A request that has come while an instance may be stopping. */
+/** A request that arrives while the instance may be stopping. */
 export interface Arrival {
   readonly nowMs: number;
-  /** When its caller or the operator's limit gives up. */
+  /** When the caller's or the operator's limit ends. */
   readonly endsAtMs: number;
-  /** What nine of ten answers of its route take; undefined if not known. */
+  /** 90th percentile of its route's durations; undefined if not known. */
   readonly usualMs: number | undefined;
 }
 
-/** Counts from the signal to stop; before it everything is as usual. */
+/** Measures time from the signal to stop; before it everything is admitted. */
 export class Shutdown {
   private beganAtMs: number | undefined;
 
@@ -39,17 +39,17 @@
     return this.beganAtMs === undefined ? undefined : nowMs - this.beganAtMs;
   }
 
-  /** Whether the balancer has had the time to notice. */
+  /** Whether the balancer has had enough time to notice the shutdown. */
   hasBalancerNoticed(nowMs: number): boolean {
     return (this.sinceMs(nowMs) ?? 0) >= BALANCER_LAG_MS;
   }
 
-  /** Whether whatever still runs has to be given up. */
+  /** Whether requests that still run have to be aborted. */
   isGraceOver(nowMs: number): boolean {
     return this.leftMs(nowMs) <= 0;
   }
 
-  /** What is left for requests; endless before the signal. */
+  /** Time left for requests; infinite before the signal. */
   leftMs(nowMs: number): number {
     const sinceMs = this.sinceMs(nowMs);
     if (sinceMs === undefined) return Number.POSITIVE_INFINITY;
@@ -57,15 +57,16 @@
   }
 
   /**
-   * Whether a request is taken.
+   * Whether a request is admitted.
    *
-   * An instance that is stopped with requests in progress goes on for seconds,
-   * and its connections with it. What it takes then and can't finish is cut in
-   * the middle of its answer, and a caller of something that may not be repeated
-   * doesn't know whether it ran; a refusal now leads it to another instance. Only
-   * what surely ends in time is safe. Until the balancer has noticed it sends
-   * everything here, and a refusal would cost each of its callers a second way:
-   * then what usually ends in time is taken too.
+   * An instance that is stopped with requests in progress runs on for seconds,
+   * and its connections stay open. A request that it admits then and can't
+   * finish is cut in the middle of its answer, and a caller of a request that
+   * may not be repeated doesn't know whether it ran; a refusal leads it to
+   * another instance. Only requests whose limit ends in time are safe. Until
+   * the balancer has noticed, it sends all requests here, and a refusal would
+   * cost each caller a second round trip: then requests that usually end in
+   * time are admitted too.
    *
    * @example
    * if (!shutdown.mayTake({nowMs, endsAtMs, usualMs})) refuse();
--- a/packages/routing/src/simulation/load_view_simulation.ts
+++ b/packages/routing/src/simulation/load_view_simulation.ts
@@ -1,4 +1,4 @@
-/** Instances that place requests by a load view of a given age. */
+/** Simulates instances that place requests by a load view of a given age. */
 
 import {leastBy} from '../placement.js';
 import {chooseBySample} from '../sampled_choice.js';
@@ -6,59 +6,62 @@
 /** How an instance chooses an engine. */
 export type SimulatedChoice =
   | 'random'
-  /** The least loaded at the last report, with what it sent itself since. */
+  /** The least loaded by the last report and its own requests since. */
   | 'least_reported'
-  /** The least of a few random ones by the last report. */
+  /** The least loaded of a few random ones by the last report. */
   | 'sampled'
-  /** The least loaded at this moment, which no instance knows. */
+  /** The least loaded at the moment, which no instance knows. */
   | 'perfect';
 
-/** What is simulated. */
+/** Parameters of a simulation. */
 export interface LoadViewScenario {
   readonly choice: SimulatedChoice;
   readonly instances: number;
   readonly engines: number;
   readonly requestsPerS: number;
   readonly meanDurationMs: number;
-  /** How long a report is gone by. */
+  /** Interval between reports. */
   readonly reportEveryMs: number;
   readonly durationMs: number;
   /** At least 0 and below 1. */
   readonly random: () => number;
 }
 
-/** Requests that were at the chosen engine already. */
+/** Number of requests that were already at the chosen engines. */
 export interface LoadViewOutcome {
   readonly mean: number;
   readonly p99: number;
 }
 
-const P99 = 0.99;
-/** Requests that an engine works on at once. */
-const ENGINE_PLACES = 24;
+const P99_QUANTILE = 0.99;
+/** Requests that an engine processes at once. */
+const ENGINE_CAPACITY = 24;
 
 /**
  * Load pattern: the same report reaches hundreds of instances at once, and each
- * of them looks for the engine with the least to do.
+ * of them chooses the least loaded engine.
  *
  * @example
  * const {p99} = simulateLoadView({...scenario, choice: 'sampled'});
  */
 export function simulateLoadView(scenario: LoadViewScenario): LoadViewOutcome {
-  const world = new SimulatedEngines(scenario);
-  const met: number[] = [];
+  const simulated = new SimulatedEngines(scenario);
+  const loads: number[] = [];
   let atMs = 0;
   while (atMs < scenario.durationMs) {
     atMs += exponential(1000 / scenario.requestsPerS, scenario.random);
-    met.push(world.place(atMs));
+    loads.push(simulated.place(atMs));
   }
-  met.sort((one, other) => one - other);
-  const sum = met.reduce((total, load) => total + load, 0);
-  return {mean: sum / met.length, p99: met[Math.floor(met.length * P99)]};
+  loads.sort((one, other) => one - other);
+  const sum = loads.reduce((total, load) => total + load, 0);
+  return {
+    mean: sum / loads.length,
+    p99: loads[Math.floor(loads.length * P99_QUANTILE)],
+  };
 }
 
 class SimulatedEngines {
-  /** Ends of the requests that run, by engine. */
+  /** End times of the running requests by engine. */
   private readonly ends: number[][];
   private readonly numbers: readonly number[];
   private readonly sentSince = new Map<number, Map<number, number>>();
@@ -70,7 +73,7 @@
     this.ends = this.numbers.map(() => []);
   }
 
-  /** @returns how many requests were at the engine that was chosen. */
+  /** @returns how many requests were already at the chosen engine. */
   place(atMs: number): number {
     const {random, instances, meanDurationMs} = this.scenario;
     this.end(atMs);
@@ -98,7 +101,7 @@
         return chooseBySample({
           items: this.numbers,
           costOf: known,
-          roomOf: engine => ENGINE_PLACES - known(engine),
+          roomOf: engine => ENGINE_CAPACITY - known(engine),
           random,
         })!;
       case 'perfect':
--- a/packages/routing/src/simulation/measure_load_view.ts
+++ b/packages/routing/src/simulation/measure_load_view.ts
@@ -1,4 +1,4 @@
-/** Prints how well instances choose by load views of several ages. */
+/** Prints the loads of chosen engines for load views of several ages. */
 
 import {createSeededRandom} from '@snipestage/policy/random_source.js';
 import {
--- a/packages/routing/src/simulation/simulated_engine.ts
+++ b/packages/routing/src/simulation/simulated_engine.ts
@@ -1,24 +1,24 @@
-/** An engine that runs a number of requests at once, the most urgent first. */
+/** Simulates an engine that runs the most urgent waiting requests first. */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
 import type {ReportedLoad} from '../endpoint_monitor.js';
 
-/** A request on its way through an engine. */
+/** A request at a simulated engine. */
 export interface SimulatedRequest {
   readonly endpoint: EndpointId;
   /** 0 is served first. */
   readonly tier: number;
   readonly atMs: number;
-  /** Its caller leaves then, unless the engine has begun. */
+  /** When its caller leaves, unless the engine has begun. */
   readonly leavesAtMs: number;
-  /** How long an engine that runs nothing else works on it. */
+  /** How long it takes on an engine that runs nothing else. */
   readonly durationMs: number;
   begunAtMs: number | undefined;
-  /** It has ended or its caller has left. */
-  readonly onOver: () => void;
+  /** Called when it has ended or its caller has left. */
+  readonly onEnd: () => void;
 }
 
-/** What an engine said of its load with an answer. */
+/** Load that an engine reported with an answer. */
 export interface AnsweredLoad {
   readonly load: ReportedLoad;
   readonly atMs: number;
@@ -29,12 +29,12 @@
   readonly endsAtMs: number;
 }
 
-/** Work takes this much longer with all places taken than with one. */
-const SLOWDOWN_WHEN_FULL = 0.5;
+/** Share by which requests take longer on a full engine than on an idle one. */
+const FULL_SLOWDOWN_SHARE = 0.5;
 
 /** Time moves forward with {@link advance} and {@link add}. */
 export class SimulatedEngine {
-  /** The latest answer began then, with this load. */
+  /** Load reported by the latest answer, and the time at which it began. */
   answered: AnsweredLoad | undefined;
   private running: Running[] = [];
   private waiting: SimulatedRequest[] = [];
@@ -47,7 +47,7 @@
     this.beginWaiting(request.atMs);
   }
 
-  /** Ends and begins what is due until a time. */
+  /** Ends and begins all requests that are due until a time. */
   advance(untilMs: number): void {
     for (;;) {
       const next = this.running.reduce<Running | undefined>(
@@ -57,14 +57,14 @@
       );
       if (next === undefined || next.endsAtMs > untilMs) break;
       this.running = this.running.filter(each => each !== next);
-      next.request.onOver();
+      next.request.onEnd();
       this.beginWaiting(next.endsAtMs);
     }
-    this.dropLeft(untilMs);
+    this.dropAbandoned(untilMs);
   }
 
   private beginWaiting(nowMs: number): void {
-    this.dropLeft(nowMs);
+    this.dropAbandoned(nowMs);
     while (this.running.length < this.capacity && this.waiting.length > 0) {
       const request = this.waiting.reduce((first, each) =>
         each.tier < first.tier ? each : first,
@@ -76,7 +76,8 @@
 
   private begin(request: SimulatedRequest, nowMs: number): void {
     const fullness = this.running.length / this.capacity;
-    const durationMs = request.durationMs * (1 + SLOWDOWN_WHEN_FULL * fullness);
+    const durationMs =
+      request.durationMs * (1 + FULL_SLOWDOWN_SHARE * fullness);
     request.begunAtMs = nowMs;
     this.running.push({request, endsAtMs: nowMs + durationMs});
     const load = {
@@ -87,10 +88,12 @@
     this.answered = {load, atMs: nowMs};
   }
 
-  private dropLeft(nowMs: number): void {
-    const left = this.waiting.filter(({leavesAtMs}) => leavesAtMs <= nowMs);
-    if (left.length === 0) return;
-    this.waiting = this.waiting.filter(each => !left.includes(each));
-    for (const {onOver} of left) onOver();
+  private dropAbandoned(nowMs: number): void {
+    const abandoned = this.waiting.filter(
+      ({leavesAtMs}) => leavesAtMs <= nowMs,
+    );
+    if (abandoned.length === 0) return;
+    this.waiting = this.waiting.filter(each => !abandoned.includes(each));
+    for (const {onEnd} of abandoned) onEnd();
   }
 }
--- a/packages/routing/src/simulation/split_simulation.test.ts
+++ b/packages/routing/src/simulation/split_simulation.test.ts
@@ -17,7 +17,7 @@
   readonly summary: number;
 }
 
-interface PlayedRates {
+interface SimulatedRates {
   readonly rates: Rates;
   readonly agreed: Rates;
   readonly instances?: number;
@@ -26,7 +26,7 @@
   readonly seed: number;
 }
 
-/** Short urgent questions, long patient quotes, and summaries in between. */
+/** Short urgent questions, long quotes of low urgency, summaries in between. */
 function describeTraffic(rates: Rates, agreed: Rates): SimulatedTraffic[] {
   return [
     {
@@ -62,7 +62,7 @@
   ];
 }
 
-function play(options: PlayedRates): readonly SplitOutcome[] {
+function simulate(options: SimulatedRates): readonly SplitOutcome[] {
   const {rates, agreed, instances = 66, engines = 60, seed} = options;
   const {reportEveryMs = 500} = options;
   return simulateSplit({
@@ -77,59 +77,68 @@
   });
 }
 
-/** Share of a route's requests that may get nothing while others begin. */
-const MAX_LOST = 1 / 12;
+/** Share of a route's requests whose callers may leave without an answer. */
+const MAX_LOST_SHARE = 1 / 12;
 /** When the answer to a counter question should begin. */
 const COUNTER_TARGET_MS = 411;
-/** An eighth of that, on a day on which nothing is crowded. */
-const MAX_CALM_WAIT_MS = 50;
+/** About an eighth of that, while no engine is full. */
+const MAX_USUAL_WAIT_MS = 50;
 
-const CALM: Rates = {counter: 55, quote: 90, summary: 50};
-const SHORT_BURST: Rates = {counter: 145, quote: 90, summary: 50};
-const LONG_BURST: Rates = {counter: 55, quote: 240, summary: 50};
-const AFTER_LONG_BURST: Rates = {counter: 55, quote: 280, summary: 50};
-const AFTER_SHORT_BURST: Rates = {counter: 200, quote: 90, summary: 50};
+const USUAL_RATES: Rates = {counter: 55, quote: 90, summary: 50};
+const SHORT_BURST_RATES: Rates = {counter: 145, quote: 90, summary: 50};
+const LONG_BURST_RATES: Rates = {counter: 55, quote: 240, summary: 50};
+const AFTER_LONG_BURST_RATES: Rates = {counter: 55, quote: 280, summary: 50};
+const AFTER_SHORT_BURST_RATES: Rates = {counter: 200, quote: 90, summary: 50};
 
 for (const seed of [1, 2, 3]) {
   test(`load pattern: urgent short requests triple right after a burst of long prompts (seed ${seed})`, t => {
-    // Guards against urgent requests that get nothing at the few engines of a stale split.
-    const [counter] = play({
-      rates: SHORT_BURST,
-      agreed: AFTER_LONG_BURST,
+    // Guards against lost urgent requests at the few engines of a stale split.
+    const [counter] = simulate({
+      rates: SHORT_BURST_RATES,
+      agreed: AFTER_LONG_BURST_RATES,
       seed,
     });
-    t.true(counter.lost <= counter.sent * MAX_LOST, JSON.stringify(counter));
+    t.true(
+      counter.lost <= counter.sent * MAX_LOST_SHARE,
+      JSON.stringify(counter),
+    );
     t.true(counter.meanWaitMs <= COUNTER_TARGET_MS, JSON.stringify(counter));
   });
 
   test(`load pattern: urgent short requests triple while loads are a second old (seed ${seed})`, t => {
-    // Guards against room on a small side that every instance takes at once.
-    const [counter] = play({
-      rates: SHORT_BURST,
-      agreed: AFTER_LONG_BURST,
+    // Guards against all instances using the same room on a small side at once.
+    const [counter] = simulate({
+      rates: SHORT_BURST_RATES,
+      agreed: AFTER_LONG_BURST_RATES,
       reportEveryMs: 1000,
       seed,
     });
-    t.true(counter.lost <= counter.sent * MAX_LOST, JSON.stringify(counter));
+    t.true(
+      counter.lost <= counter.sent * MAX_LOST_SHARE,
+      JSON.stringify(counter),
+    );
     t.true(counter.meanWaitMs <= COUNTER_TARGET_MS, JSON.stringify(counter));
   });
 
   test(`load pattern: long prompts triple right after a burst of short requests (seed ${seed})`, t => {
-    // Guards against long prompts that wait while the other side of the split is idle.
-    const [counter, quote] = play({
-      rates: LONG_BURST,
-      agreed: AFTER_SHORT_BURST,
+    // Guards against long prompts that wait while the other side is idle.
+    const [counter, quote] = simulate({
+      rates: LONG_BURST_RATES,
+      agreed: AFTER_SHORT_BURST_RATES,
       seed,
     });
-    t.true(quote.lost <= quote.sent * MAX_LOST, JSON.stringify(quote));
-    t.true(counter.lost <= counter.sent * MAX_LOST, JSON.stringify(counter));
+    t.true(quote.lost <= quote.sent * MAX_LOST_SHARE, JSON.stringify(quote));
+    t.true(
+      counter.lost <= counter.sent * MAX_LOST_SHARE,
+      JSON.stringify(counter),
+    );
   });
 
-  test(`calm load: the split keeps both sides without waiting (seed ${seed})`, t => {
-    const outcomes = play({rates: CALM, agreed: CALM, seed});
+  test(`usual load: requests of both sides hardly wait (seed ${seed})`, t => {
+    const outcomes = simulate({rates: USUAL_RATES, agreed: USUAL_RATES, seed});
     for (const {lost, meanWaitMs} of outcomes) {
       t.is(lost, 0);
-      t.true(meanWaitMs < MAX_CALM_WAIT_MS, `${meanWaitMs}`);
+      t.true(meanWaitMs < MAX_USUAL_WAIT_MS, `${meanWaitMs}`);
     }
   });
 }
--- a/packages/routing/src/simulation/split_simulation.ts
+++ b/packages/routing/src/simulation/split_simulation.ts
@@ -1,4 +1,4 @@
-/** Instances that place prompts on engines by load reports of a given age. */
+/** Simulates instances that place prompts by load reports of a given age. */
 
 import {
   brandAs,
@@ -15,18 +15,18 @@
 import type {EndpointAddress, ServingEndpoint} from '../serving_endpoint.js';
 import {SimulatedEngine, type SimulatedRequest} from './simulated_engine.js';
 
-/** A kind of request and how much of it comes. */
+/** A kind of request and its rate. */
 export interface SimulatedTraffic {
   readonly route: Route;
   readonly promptTokens: number;
   readonly sharedTokens: number;
   readonly outputTokens: number;
-  /** How long an engine with free places works on one. */
+  /** How long one takes on an otherwise idle engine. */
   readonly durationMs: number;
   /** Callers leave when nothing has begun after this time. */
   readonly patienceMs: number;
   readonly requestsPerS: number;
-  /** What instances last agreed upon; differs from what comes in a burst. */
+  /** Rate by the agreed demand; differs from the actual one in a burst. */
   readonly agreedPerS: number;
 }
 
@@ -34,33 +34,33 @@
   readonly instances: number;
   readonly engines: number;
   readonly dataCentres: number;
-  /** Requests that an engine works on at once. */
+  /** Requests that an engine processes at once. */
   readonly capacity: number;
   readonly traffic: readonly SimulatedTraffic[];
-  /** How often the loads that engines gave with answers reach all instances. */
+  /** Interval at which the loads reported with answers reach all instances. */
   readonly reportEveryMs: number;
   readonly durationMs: number;
   /** At least 0 and below 1. */
   readonly random: () => number;
 }
 
-/** What became of the requests of a route. */
+/** Outcome of the requests of a route. */
 export interface SplitOutcome {
   readonly sent: number;
-  /** Callers left before an engine had begun. */
+  /** Requests whose callers left before an engine had begun. */
   readonly lost: number;
-  /** Of those that began. */
+  /** Mean wait of those that began. */
   readonly meanWaitMs: number;
   /** Most requests that an engine got within a second. */
   readonly mostInASecond: number;
 }
 
 const SERVICE = brandAs<ServiceId>('engines');
-/** Prompts that share a beginning. */
-const TOPICS = 40;
+/** Number of shared prefixes of each route. */
+const TOPIC_COUNT = 40;
 const SECOND_MS = 1000;
 
-/** Demand that instances agreed upon before the simulated time. */
+/** Agreed demand that doesn't change during the simulation. */
 class FixedDemand extends DemandSource {
   constructor(private readonly traffic: readonly SimulatedTraffic[]) {
     super();
@@ -87,7 +87,7 @@
 }
 
 /**
- * Plays a scenario with the production placement.
+ * Simulates a scenario with the production placement.
  *
  * @returns outcomes by route, in the order of the traffic.
  * @example
@@ -167,7 +167,7 @@
     return arrivals.sort((left, right) => left.atMs - right.atMs);
   }
 
-  /** What engines said with their latest answers reaches every instance. */
+  /** Passes the loads of the engines' latest answers to every instance. */
   private report(nowMs: number): void {
     for (const [id, engine] of this.engines) {
       engine.advance(nowMs);
@@ -193,7 +193,7 @@
       avoided: new Set(),
       nowMs: atMs,
     });
-    if (placed === undefined) throw new Error('no engine was chosen');
+    if (placed === undefined) throw new Error('placement chose no engine');
     const {id} = placed.endpoint;
     const request: SimulatedRequest = {
       endpoint: id,
@@ -202,7 +202,7 @@
       leavesAtMs: atMs + patienceMs,
       durationMs,
       begunAtMs: undefined,
-      onOver: () => instance.monitor.end(id, 1),
+      onEnd: () => instance.monitor.end(id, 1),
     };
     instance.monitor.begin(id, 1, atMs);
     this.requests[kind].push(request);
@@ -251,7 +251,7 @@
   {route, promptTokens, sharedTokens, outputTokens}: SimulatedTraffic,
   random: () => number,
 ): Prompt {
-  const topic = `${route.id}-${Math.floor(random() * TOPICS)}`;
+  const topic = `${route.id}-${Math.floor(random() * TOPIC_COUNT)}`;
   return {
     tokens: promptTokens,
     maxOutputTokens: outputTokens,
--- a/packages/routing/src/suspension_watch.ts
+++ b/packages/routing/src/suspension_watch.ts
@@ -1,11 +1,11 @@
 /**
- * Notices that the process did not run for a while.
+ * Detects that the process was suspended.
  *
- * A machine may be suspended for seconds. The steady clock stands still
- * meanwhile, so that a lease seems in force that another instance has taken
- * since. The time of day goes on, and a jump of it against the steady clock
- * shows the suspension. A corrected time of day looks the same; then a lease is
- * dropped without need, which costs one take-over.
+ * A machine may be suspended for seconds. The monotonic clock stops meanwhile,
+ * so that a lease still seems valid which another instance has taken since. The
+ * time of day goes on, and its jump relative to the monotonic clock shows the
+ * suspension. A correction of the time of day looks the same; then a lease is
+ * dropped needlessly, which costs one take-over.
  */
 export class SuspensionWatch {
   private differenceMs: number;
@@ -19,7 +19,7 @@
   }
 
   /**
-   * Whether the clocks drifted apart since the last look.
+   * Whether the difference of the clocks has jumped since the last check.
    *
    * @example
    * if (watch.hasJumped(performance.now(), Date.now())) dropLease();
@@ -32,5 +32,7 @@
   }
 }
 
-/** Well under a lease's margin, well over what clocks drift between looks. */
+/**
+ * Well under a lease's margin, well over the drift of clocks between checks.
+ */
 const DEFAULT_TOLERANCE_MS = 250;
--- a/packages/routing/src/test_support/fixtures.ts
+++ b/packages/routing/src/test_support/fixtures.ts
@@ -1,4 +1,4 @@
-/** Small values for tests. */
+/** Fixtures for tests. */
 
 import {
   brandAs,
@@ -13,7 +13,7 @@
 export const REPAIR = brandAs<ServiceId>('repair');
 export const AKL_A = brandAs<DataCentreId>('akl-a');
 
-/** A resumable stream with two attempts, with changes. */
+/** Creates the route of a resumable stream with two attempts. */
 export function makeRoute(changes: Partial<Route> = {}): Route {
   return {
     id: brandAs<RouteId>('summary'),
@@ -32,7 +32,7 @@
   };
 }
 
-/** A first version with one route and no accounts, with changes. */
+/** Creates a first version with one route and no accounts. */
 export function makeConfiguration(
   changes: Partial<RoutingConfiguration> = {},
 ): RoutingConfiguration {
@@ -51,7 +51,7 @@
   };
 }
 
-/** An endpoint of {@link REPAIR} in {@link AKL_A}, with changes. */
+/** Creates an endpoint of {@link REPAIR} in {@link AKL_A}. */
 export function makeEndpoint(
   id: string,
   changes: Partial<ServingEndpoint> = {},
@@ -69,7 +69,7 @@
   };
 }
 
-/** A prompt of one shared part and one of its own. */
+/** Creates a prompt of one shared part and one of its own. */
 export function makePrompt(
   shared: string,
   sharedTokens: number,
@@ -86,13 +86,13 @@
   };
 }
 
-/** Long prompts whose callers are patient between events. */
+/** Route of long prompts whose callers tolerate long pauses. */
 export const QUOTE = makeRoute({
   id: brandAs<RouteId>('quote'),
   pauseTargetMs: 600,
 });
 
-/** Short questions whose callers are not. */
+/** Route of short questions whose callers need short pauses. */
 export const COUNTER = makeRoute({
   id: brandAs<RouteId>('counter'),
   pauseTargetMs: 150,
--- a/packages/routing/src/urgency_scale.test.ts
+++ b/packages/routing/src/urgency_scale.test.ts
@@ -26,11 +26,11 @@
   );
 }
 
-test('an urgent route goes before others, whoever calls it', t => {
-  // Five times the usual load comes to all routes while a quarter of the engines
-  // is down. A shop that pays to go first sends long quotes. Seen: they preempted
-  // the short answers of all chains, which were read again from the start, and
-  // whose callers left.
+test('a request of a more urgent route has the lower rank, whatever its account', t => {
+  // Guards against long prompts of a preferred account that preempt short
+  // answers of other accounts at five times the usual load with a quarter of
+  // the engines down; these are processed again from the start, and their
+  // callers leave.
   const scale = makeScale();
   const ranks = [ANSWER, SUMMARY, QUOTE].map(route =>
     scale.rankRequest(route, CHAIN),
@@ -39,9 +39,9 @@
   t.true(scale.rankRequest(QUOTE, SHOP) > ranks[1]);
 });
 
-test('on one route an urgent account goes before the others', t => {
-  // A shop pays to go first. During a burst of the chains' quotes its own would
-  // have to wait if the route alone decided.
+test('on one route a more urgent account has the lower rank', t => {
+  // Guards against a preferred account that waits behind a burst of others on
+  // the same route.
   const scale = makeScale();
   for (const route of [ANSWER, SUMMARY, QUOTE]) {
     const chainRank = scale.rankRequest(route, CHAIN);
@@ -50,7 +50,7 @@
   }
 });
 
-test('a caller without an account, or one without a tier, goes by route', t => {
+test('a caller without an account, or with one without a tier, is ranked by route', t => {
   const visitor = makeAccount('visitor', undefined);
   const scale = makeScale({clientAccounts: [SHOP, CHAIN, visitor]});
   t.is(
@@ -69,10 +69,10 @@
   t.true(ranks[0] < ranks[1] && ranks[1] < ranks[2]);
 });
 
-test('ranks stay when routes and accounts with known tiers come and go', t => {
-  // The operator adds a route while engines are full. Requests sent by the
-  // version before stand beside new ones at the engines; if ranks had moved, a
-  // running answer would be preempted for a quote.
+test('ranks do not change when routes and accounts with known tiers come and go', t => {
+  // Guards against preempting running answers for less urgent requests: a route
+  // is added while engines are full, and requests of two versions are compared
+  // there.
   const rankAll = (scale: UrgencyScale): number[] =>
     [SHOP, CHAIN].flatMap(account =>
       [ANSWER, SUMMARY, QUOTE].map(route => scale.rankRequest(route, account)),
@@ -84,7 +84,7 @@
   t.deepEqual(rankAll(changed), rankAll(makeScale()));
 });
 
-test('with few ranks, routes keep theirs and the last accounts share', t => {
+test('with few ranks, routes keep theirs and the least urgent accounts share one', t => {
   const routes: readonly Route[] = [ANSWER, SUMMARY, QUOTE];
   const accounts = [0, 1, 2, 3].map(tier => makeAccount(`${tier}`, tier));
   const scale = makeScale({routes, clientAccounts: accounts});
@@ -99,7 +99,7 @@
   ]);
 });
 
-test('no rank lies beyond those that endpoints know', t => {
+test('no rank exceeds those that endpoints support', t => {
   const routes = Array.from({length: 12}, (_, tier) => makeRoute({tier}));
   const scale = makeScale({routes});
   t.is(scale.rankRequest(routes[11], CHAIN), 9);
--- a/packages/routing/src/urgency_scale.ts
+++ b/packages/routing/src/urgency_scale.ts
@@ -1,28 +1,28 @@
-/** How urgent a request is, as a few ranks that endpoints tell apart. */
+/** Maps the urgency of a request to the few ranks that endpoints support. */
 
 import type {ClientAccountKeys, Route, RoutingConfiguration} from './route.js';
 
-/** What an {@link UrgencyScale} is made from; defaults in the brackets. */
+/** Options of {@link UrgencyScale}; defaults in brackets. */
 export interface UrgencyScaleOptions {
-  /** Ranks that endpoints tell apart (10, as model engines here do). */
+  /** Number of ranks that endpoints support (10, as model engines do). */
   readonly rankCount?: number;
 }
 
 const DEFAULT_RANK_COUNT = 10;
 
 /**
- * Ranks requests by the tier of their route, and those of equal routes by the
- * tier of their client account. Rank 0 goes first.
+ * Ranks requests by the tier of their route, and those of routes of one tier by
+ * the tier of their client account. Rank 0 is served first.
  *
- * An engine knows one number. If accounts went first, a burst of a favoured
- * account's long prompts would preempt the short answers that all others wait
- * for: the engine reads those again from the start, and their callers leave. If
- * accounts did not count at all, a favoured account's callers would wait behind
- * those of the others on the same route.
+ * An engine takes a single priority. If accounts were compared first, a burst
+ * of a preferred account's long prompts would preempt the short answers that
+ * all others wait for: the engine processes those again from the start, and
+ * their callers leave. If accounts were ignored, a preferred account's callers
+ * would wait behind those of others on the same route.
  *
- * Ranks are places among the tiers that a configuration mentions, not among the
- * pairs in use. So they stay as they are when accounts and routes come and go,
- * and requests that were sent under two versions compare as they should.
+ * Ranks are positions among the tiers that a configuration mentions, not among
+ * the pairs in use. So they don't change when accounts and routes with known
+ * tiers come and go, and requests sent under two versions compare correctly.
  */
 export class UrgencyScale {
   private readonly accountTiers: readonly number[];
@@ -37,8 +37,8 @@
     this.rankCount = options.rankCount ?? DEFAULT_RANK_COUNT;
     this.accountTiers = sortDistinct(listAccountTiers(configuration));
     this.routeTiers = sortDistinct(configuration.routes.map(({tier}) => tier));
-    // Where there are too few ranks, routes keep theirs and the least urgent
-    // accounts of each share one.
+    // With too few ranks, route tiers keep theirs and the least urgent account
+    // tiers of each share one.
     const room = Math.floor(this.rankCount / this.routeTiers.length);
     this.ranksPerRouteTier = Math.max(
       1,
@@ -47,24 +47,24 @@
   }
 
   /**
-   * The rank of a request; 0 goes first. A route's tier stands in for that of
-   * an account without one and of a caller without an account.
+   * The rank of a request; 0 is served first. The route's tier is used for an
+   * account without one and for a caller without an account.
    *
    * @example
    * const rank = scale.rankRequest(route, table.findAccount(key));
    */
   rankRequest(route: Route, account: ClientAccountKeys | undefined): number {
     const accountTier = account?.tier ?? route.tier;
-    const accountPlace = placeAmong(this.accountTiers, accountTier);
-    const routePlace = placeAmong(this.routeTiers, route.tier);
+    const accountRank = rankAmong(this.accountTiers, accountTier);
+    const routeRank = rankAmong(this.routeTiers, route.tier);
     const rank =
-      routePlace * this.ranksPerRouteTier +
-      Math.min(accountPlace, this.ranksPerRouteTier - 1);
+      routeRank * this.ranksPerRouteTier +
+      Math.min(accountRank, this.ranksPerRouteTier - 1);
     return Math.min(rank, this.rankCount - 1);
   }
 }
 
-/** Tiers of accounts, and of the routes that may stand in for one. */
+/** Tiers of accounts, and of routes whose tier may be used in their place. */
 function listAccountTiers({
   routes,
   clientAccounts,
@@ -73,16 +73,18 @@
   const mayBeAnyRoute =
     clientAccounts === undefined ||
     accounts.some(({tier}) => tier === undefined);
-  const standIns = routes.filter(({isPublic}) => isPublic || mayBeAnyRoute);
-  return [...accounts, ...standIns].flatMap(({tier}) => tier ?? []);
+  const fallbackRoutes = routes.filter(
+    ({isPublic}) => isPublic || mayBeAnyRoute,
+  );
+  return [...accounts, ...fallbackRoutes].flatMap(({tier}) => tier ?? []);
 }
 
 function sortDistinct(tiers: readonly number[]): readonly number[] {
   return [...new Set(tiers)].sort((a, b) => a - b);
 }
 
-/** How many of the sorted tiers are more urgent than this one. */
-function placeAmong(tiers: readonly number[], tier: number): number {
+/** Number of the sorted tiers that are more urgent than this one. */
+function rankAmong(tiers: readonly number[], tier: number): number {
   const place = tiers.findIndex(other => other >= tier);
   return place === -1 ? tiers.length : place;
 }
--- a/packages/routing/src/usage_windows.ts
+++ b/packages/routing/src/usage_windows.ts
@@ -1,14 +1,14 @@
-/** Requests that began to run, counted by window and client account. */
+/** Counts requests that began to run by window and client account. */
 
 import type {Branded, ClientAccountId} from '@snipestage/types/ids.js';
 
-/** Number of a window: its start divided by its length, since 1970. */
+/** Number of a window: its start since 1970 divided by its length. */
 export type WindowNumber = Branded<number, 'WindowNumber'>;
 
 /** Requests of each client account. */
 export type UsageCounts = ReadonlyMap<ClientAccountId, number>;
 
-/** Counts by window until they are taken out. */
+/** Keeps the counts of each window until it is forgotten. */
 export class UsageWindows {
   private readonly windows = new Map<
     WindowNumber,
@@ -30,7 +30,7 @@
     this.windows.set(window, counts);
   }
 
-  /** Begins a window, so that it is listed without any requests too. */
+  /** Opens a window, so that it is listed even without requests. */
   open(window: WindowNumber): void {
     if (!this.windows.has(window)) this.windows.set(window, new Map());
   }
@@ -40,7 +40,7 @@
     return this.windows.get(window) ?? new Map();
   }
 
-  /** Windows that have counts. */
+  /** Windows that were opened or have counts, in order. */
   list(): readonly WindowNumber[] {
     return [...this.windows.keys()].sort((left, right) => left - right);
   }
--- a/packages/routing/src/usual_durations.test.ts
+++ b/packages/routing/src/usual_durations.test.ts
@@ -5,14 +5,14 @@
 
 const QUOTES = brandAs<RouteId>('quotes');
 
-test('nine of ten answers are usual, and the latest count', t => {
+test('the 90th percentile of the latest durations is returned', t => {
   const durations = new UsualDurations();
   for (let count = 0; count < 200; count += 1) durations.note(QUOTES, 9000);
   for (let ms = 1; ms <= 64; ms += 1) durations.note(QUOTES, ms);
   t.is(durations.usualMs(QUOTES), 58);
 });
 
-test('too few answers tell nothing, and routes that are gone are forgotten', t => {
+test('too few durations give no percentile, and routes that are gone are forgotten', t => {
   const durations = new UsualDurations();
   for (let count = 0; count < 9; count += 1) durations.note(QUOTES, 100);
   t.is(durations.usualMs(QUOTES), undefined);
--- a/packages/routing/src/usual_durations.ts
+++ b/packages/routing/src/usual_durations.ts
@@ -1,16 +1,16 @@
-/** How long answers of each route have taken of late. */
+/** Recent durations of the answers of each route. */
 
 import type {RouteId} from './route.js';
 
-/** Of each route: enough for a share of nine in ten, few enough to be recent. */
-const KEPT = 64;
-/** Fewer say nothing about the slowest tenth. */
-const MIN_KNOWN = 10;
-const USUAL_SHARE = 0.9;
+/** Durations kept of each route: enough for a 90th percentile, but recent. */
+const KEPT_DURATION_COUNT = 64;
+/** With fewer durations the 90th percentile is meaningless. */
+const MIN_DURATION_COUNT = 10;
+const DURATION_QUANTILE = 0.9;
 
 /**
- * Keeps the latest durations, of streams to their last event; of what was given
- * up, the time until then.
+ * Keeps the latest durations. Streams count until their last event, requests that
+ * were given up until that moment.
  */
 export class UsualDurations {
   private readonly byRoute = new Map<RouteId, number[]>();
@@ -18,12 +18,12 @@
   note(route: RouteId, durationMs: number): void {
     const kept = this.byRoute.get(route) ?? [];
     kept.push(durationMs);
-    if (kept.length > KEPT) kept.shift();
+    if (kept.length > KEPT_DURATION_COUNT) kept.shift();
     this.byRoute.set(route, kept);
   }
 
   /**
-   * What nine of ten answers took at most, in ms; undefined while too few are
+   * The 90th percentile of the durations in ms; undefined while too few are
    * known.
    *
    * @example
@@ -31,12 +31,12 @@
    */
   usualMs(route: RouteId): number | undefined {
     const kept = this.byRoute.get(route) ?? [];
-    if (kept.length < MIN_KNOWN) return undefined;
+    if (kept.length < MIN_DURATION_COUNT) return undefined;
     const sorted = kept.toSorted((a, b) => a - b);
-    return sorted[Math.ceil(sorted.length * USUAL_SHARE) - 1];
+    return sorted[Math.ceil(sorted.length * DURATION_QUANTILE) - 1];
   }
 
-  /** Routes that are gone are forgotten. */
+  /** Forgets routes that are gone. */
   keepOnly(routes: ReadonlySet<RouteId>): void {
     for (const route of this.byRoute.keys()) {
       if (!routes.has(route)) this.byRoute.delete(route);
--- a/packages/routing/src/warmup_gate.test.ts
+++ b/packages/routing/src/warmup_gate.test.ts
@@ -12,7 +12,7 @@
 
 const LIMIT = {durationMs: 60_000, requestsPerS: 7.3};
 const TOLERANCE = {overage: 1.5, slack: 5};
-/** Requests that a cold engine bears in any second. */
+/** Requests that a cold engine can take in any second. */
 const MOST_IN_A_SECOND = 15;
 const ENGINE = makeEndpoint('cold');
 
@@ -41,12 +41,12 @@
 
 interface Simulated {
   readonly instances: number;
-  /** As the instances believe. */
+  /** Number of instances as counted by each of them. */
   readonly counted: number;
   readonly seed: number;
 }
 
-/** The times at which the engine gets requests while all instances want it. */
+/** Times at which the engine gets requests while all instances want it. */
 function simulate({instances, counted, seed}: Simulated): readonly number[] {
   const random = makeRandom(seed);
   const gates = Array.from({length: instances}, () => {
@@ -78,7 +78,7 @@
 
 for (const instances of [1, 9, 65, 195]) {
   test(`load pattern: ${instances} instances want one cold engine`, t => {
-    // Guards against a cold engine that gets a request of every instance at once.
+    // Guards against a cold engine that gets requests of all instances at once.
     for (let seed = 1; seed <= 10; seed++) {
       const arrivals = simulate({instances, counted: instances, seed});
       t.true(mostInASecond(arrivals) <= MOST_IN_A_SECOND, `seed ${seed}`);
@@ -88,7 +88,8 @@
 }
 
 test('load pattern: three quarters more instances than were counted', t => {
-  // Guards against instances that started, or were cut off, since the last count.
+  // Guards against excess requests of instances that are missing in the last
+  // count.
   for (let seed = 1; seed <= 10; seed++) {
     const arrivals = simulate({instances: 114, counted: 65, seed});
     t.true(mostInASecond(arrivals) <= MOST_IN_A_SECOND, `seed ${seed}`);
@@ -101,7 +102,7 @@
   t.false(gate.mayAdmit(ENGINE, 1));
 });
 
-test('an engine is cold until its time is over or it says that it is warm', t => {
+test('an engine is cold until its time is over or it reports that it is warm', t => {
   const gate = makeGate(65, () => 0);
   gate.noteWarmup(ENGINE.id, 3000, 0);
   t.true(gate.isCold(ENGINE.id, 2999));
@@ -135,14 +136,14 @@
     avoided: new Set<DataCentreId>(),
     nowMs: 1,
   };
-  const beliefs = {monitor, reach: new DataCentreReach(), warmup: gate};
-  const usable = findUsable([...engines, ENGINE], request, beliefs);
-  const admitted = leaveOutCold(usable, usable, request, beliefs);
+  const placementState = {monitor, reach: new DataCentreReach(), warmup: gate};
+  const usable = findUsable([...engines, ENGINE], request, placementState);
+  const admitted = leaveOutCold(usable, usable, request, placementState);
   return admitted.map(({id}) => id);
 }
 
 test('load pattern: a data centre comes back cold beside warm engines', t => {
-  // Guards against idle but cold engines that draw a burst of requests.
+  // Guards against idle but cold engines that attract a burst of requests.
   const gate = makeGate(65, () => 0);
   const ids = usableIds({gate, warm: 2, warmLoad: 20});
   t.deepEqual(ids, ['warm-0', 'warm-1']);
@@ -156,7 +157,7 @@
 });
 
 test('where only cold engines are left, those beyond their rate get nothing', t => {
-  // Guards against an outage in which every engine comes back cold.
+  // Guards against overloading engines that all come back cold after an outage.
   const only = {warm: 0, warmLoad: 0};
   t.deepEqual(usableIds({gate: makeGate(65, () => 0), ...only}), [ENGINE.id]);
   t.deepEqual(usableIds({gate: makeGate(65, () => 0.99), ...only}), []);
--- a/packages/routing/src/warmup_gate.ts
+++ b/packages/routing/src/warmup_gate.ts
@@ -1,14 +1,14 @@
-/** Limits what engines get while they are cold after a start. */
+/** Limits requests to endpoints that are cold after a start. */
 
 import type {EndpointId, ServiceId} from '@snipestage/types/ids.js';
 import type {WarmupLimit} from './route.js';
 import type {ServingEndpoint} from './serving_endpoint.js';
 
-/** What a {@link WarmupGate} is made from; defaults in the brackets. */
+/** Options of {@link WarmupGate}; defaults in brackets. */
 export interface WarmupGateOptions {
-  /** How long endpoints of a service are cold, and what they bear meanwhile. */
+  /** How long endpoints of a service are cold, and which rate they take. */
   readonly limitOf: (service: ServiceId) => WarmupLimit | undefined;
-  /** How many instances there are, as far as it is known. */
+  /** Number of instances; undefined while not known. */
   readonly readInstances: () => number | undefined;
   /** See {@link WarmupTolerance}. */
   readonly tolerance?: WarmupTolerance;
@@ -16,20 +16,20 @@
   readonly random?: () => number;
 }
 
-/** By how much a cold endpoint's rate may be exceeded; defaults in the brackets. */
+/** By how much a cold endpoint's rate may be exceeded; defaults in brackets. */
 export interface WarmupTolerance {
   /** Factor of the rate (1). */
   readonly overage: number;
-  /** Requests in a second beyond it (0). */
+  /** Requests in a second in addition (0). */
   readonly slack: number;
 }
 
 const NO_TOLERANCE: WarmupTolerance = {overage: 1, slack: 0};
 const SECOND_MS = 1000;
-/** Instances that have started since they were last counted. */
+/** Instances that have started since they were last counted, as a share. */
 const MAX_UNCOUNTED_SHARE = 1;
-/** Deviations by which the requests of one second may exceed their mean. */
-const DEVIATIONS = 5;
+/** Standard deviations by which a second's requests may exceed their mean. */
+const DEVIATION_COUNT = 5;
 
 interface Admission {
   readonly endsAtMs: number;
@@ -39,12 +39,12 @@
 
 /**
  * Load pattern: an engine starts, or its data centre is restored, and dozens of
- * instances see an idle engine. It bears a few requests a second from all of
+ * instances see an idle engine. It can take a few requests a second from all of
  * them together and crashes well above that.
  *
- * Instances agree without a message: in each second, each one draws whether it
- * may send, with a probability that leaves the sum over all instances below the
- * limit. A network partition changes nothing, since no message is needed.
+ * Instances coordinate without messages: in each second, each one draws how
+ * many requests it may send, so that the sum over all instances stays below the
+ * limit. A network partition has no effect, since no message is needed.
  */
 export class WarmupGate {
   private readonly coldUntilMs = new Map<EndpointId, number>();
@@ -57,13 +57,13 @@
     this.tolerance = options.tolerance ?? NO_TOLERANCE;
   }
 
-  /** An endpoint said that it stays cold for so long; 0: it is warm. */
+  /** Records the time for which an endpoint says it stays cold; 0 if warm. */
   noteWarmup(id: EndpointId, leftMs: number, nowMs: number): void {
     if (leftMs > 0) this.coldUntilMs.set(id, nowMs + leftMs);
     else this.forget(id);
   }
 
-  /** An endpoint may have become cold, and has not said so yet. */
+  /** Treats an endpoint as cold that may be so and has not reported it yet. */
   presumeCold(endpoint: ServingEndpoint, nowMs: number): void {
     const limit = this.options.limitOf(endpoint.service);
     if (limit === undefined) return;
@@ -82,7 +82,7 @@
     return false;
   }
 
-  /** How long an endpoint stays cold; 0: it is warm. */
+  /** How long an endpoint stays cold; 0 if it is warm. */
   leftMs(id: EndpointId, nowMs: number): number {
     return this.isCold(id, nowMs) ? this.coldUntilMs.get(id)! - nowMs : 0;
   }
@@ -135,16 +135,16 @@
 
 /**
  * Requests that all instances together may send in a second on average. The sum
- * of many draws is Poisson distributed, and any span of a second may hold those
- * of two periods.
+ * of many draws is Poisson distributed, and any span of a second may include
+ * requests of two periods.
  */
 function meanAdmitted(
   {requestsPerS}: WarmupLimit,
   {overage, slack}: WarmupTolerance,
 ): number {
   const most = requestsPerS * overage + slack;
-  const half = DEVIATIONS / 2;
-  // Solves mean + DEVIATIONS * sqrt(mean) = most.
+  const half = DEVIATION_COUNT / 2;
+  // Solves mean + DEVIATION_COUNT * sqrt(mean) = most.
   const mean = (Math.sqrt(most + half ** 2) - half) ** 2;
   return mean / 2;
 }
