--- a/packages/routing/src/window_budget.test.ts
+++ b/packages/routing/src/window_budget.test.ts
@@ -1,10 +1,9 @@
 import test from 'ava';
 import {maxSavedEach, WindowBudget} from './window_budget.js';
 
-test('further attempts stay under the ratio in every window', t => {
-  // All endpoints of a service fail at once. Without a bound each request
-  // would be sent twice, and the service would get twice the load just when
-  // it can bear the least.
+test('retries stay under the ratio in a window', t => {
+  // Guards against doubling the load of a service while all its endpoints fail,
+  // since each request is retried.
   const budget = new WindowBudget({ratio: 0.2, windowMs: 1000});
   let taken = 0;
   for (let nowMs = 0; nowMs < 1000; nowMs += 10) {
@@ -14,7 +13,7 @@
   t.is(taken, 20);
 });
 
-test('what was spent comes back as the window moves', t => {
+test('used retries become available again as the window moves', t => {
   const budget = new WindowBudget({ratio: 0.2, windowMs: 1000});
   t.true(budget.tryTake(0));
   t.false(budget.hasRoom(500));
@@ -22,7 +21,7 @@
   t.true(budget.tryTake(1000));
 });
 
-test('shares of instances sum to the share of the whole', t => {
+test('retries of all instances together stay under the ratio', t => {
   const budgets = Array.from(
     {length: 9},
     () => new WindowBudget({ratio: 0.2, windowMs: 10_000, floor: 0}),
@@ -36,12 +35,12 @@
   t.true(taken <= 0.2 * 900);
 });
 
-test('the end of a burst is not paid for by its beginning', t => {
-  // Five times the usual load comes for some seconds, and a quarter of the
-  // engines is lost in it. When it ends, thousands of requests are turned away by
-  // engines that are still full. Seen: they were sent on by what the first second
-  // of the burst had left unspent, and a window that began in its second one held
-  // more of them than its own requests allow.
+test('retries saved at the beginning of a burst are not used at its end', t => {
+  // Guards against more retries in a window than its requests allow: in a burst
+  // of five times the usual load a quarter of the engines is lost. When it
+  // ends, full engines reject thousands of requests, which were retried with
+  // what the first second had left unused, in windows that began in the second
+  // one.
   const windowMs = 10_000;
   const slack = 160;
   const instances = 60;
@@ -58,8 +57,8 @@
       budget.countRequest(nowMs);
       requestsAtMs.push(nowMs);
     }
-    const isTurnedAway = nowMs >= 3000 && nowMs < 12_000;
-    if (isTurnedAway && budget.tryTake(nowMs)) extrasAtMs.push(nowMs);
+    const isRejected = nowMs >= 3000 && nowMs < 12_000;
+    if (isRejected && budget.tryTake(nowMs)) extrasAtMs.push(nowMs);
   }
   for (let beginMs = 0; beginMs < 12_000; beginMs += 100) {
     const isInside = (atMs: number): boolean =>
@@ -70,7 +69,7 @@
   }
 });
 
-test('while nobody has counted the instances, each saves up one', t => {
+test('until the instances are counted, each may save up one retry', t => {
   t.is(maxSavedEach(160, undefined), 1);
   t.is(maxSavedEach(52, 100), 1);
   t.true(maxSavedEach(52, 6) * 6 + 6 <= 52);
--- a/packages/routing/src/window_budget.ts
+++ b/packages/routing/src/window_budget.ts
@@ -1,17 +1,16 @@
 /**
- * Budget for attempts beyond the first, which all instances share without
- * exchanging messages.
+ * Retry budget that all instances share without exchanging messages.
  */
 
-/** What a {@link WindowBudget} is made from. */
+/** Options of {@link WindowBudget}. */
 export interface WindowBudgetOptions {
-  /** Further attempts for each request. */
+  /** Retries for each request. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Allowed whatever the number of requests (1). */
+  /** Retries in a window that are always allowed (1). */
   readonly floor?: number;
   /**
-   * Further attempts that may be saved up for later, at this moment (no limit).
+   * Number of unused retries that may be saved up at the moment (no limit).
    */
   readonly readMaxSaved?: () => number;
 }
@@ -19,11 +18,11 @@
 const DEFAULT_FLOOR = 1;
 
 /**
- * What each instance may save up, if all of them together are to stay within
- * what a deployment allows beyond its ratio.
+ * Number of retries that each instance may save up so that all instances
+ * together stay within the slack that a deployment allows beyond its ratio.
  *
- * @param slack further attempts allowed beyond the ratio, over all instances.
- * @param instances undefined until they were counted.
+ * @param slack retries allowed beyond the ratio, over all instances.
+ * @param instances undefined until they have been counted.
  * @example
  * maxSavedEach(52, 6); // 6.1
  */
@@ -36,29 +35,30 @@
   return Math.max(DEFAULT_FLOOR, beyondFloors * SAVED_SHARE);
 }
 
-/** Some instances are gone or not counted yet. */
+/** Allows for instances that are gone or not counted yet. */
 const SAVED_SHARE = 0.8;
 
 /**
- * Sliding window over an instance's own requests and further attempts.
+ * Sliding window over an instance's own requests and retries.
  *
  * The sum over all instances of `ratio` times their own requests is `ratio`
- * times all requests, so that each may spend its own share without agreement,
- * however many there are and whoever is cut off. The floor lets an instance
- * with few requests repeat one; it is well inside the slack that deployments
- * allow on top, which is many times the number of instances.
+ * times all requests, so that each may use its own share without coordination,
+ * however many there are and whichever are cut off. The floor lets an instance
+ * with few requests retry one; it is well within the slack that deployments
+ * allow in addition, which is many times the number of instances.
  *
- * The window alone holds only while requests keep coming. When a burst ends, or
- * callers leave, what its first second left unspent would be spent in its last
- * one and after it, and windows that begin in between see further attempts
- * without the requests that paid for them. So only a little may be saved up.
+ * The window alone limits retries only while requests keep coming. When a burst
+ * ends, or callers leave, retries left unused in its first second would be used
+ * in its last one and after it, and windows that begin in between would contain
+ * retries without the requests that allowed them. So only a few may be saved
+ * up.
  */
 export class WindowBudget {
   private readonly requests: number[] = [];
-  private readonly extras: number[] = [];
+  private readonly retries: number[] = [];
   private readonly floor: number;
   private readonly readMaxSaved: () => number;
-  /** Further attempts that requests have paid for and that were not made. */
+  /** Unused retries that earlier requests have allowed; the maximum at first. */
   private saved: number;
 
   constructor(private readonly options: WindowBudgetOptions) {
@@ -75,22 +75,24 @@
   }
 
   /**
-   * Takes one further attempt out of the budget, if there is one.
+   * Takes one retry from the budget if it has room.
+   *
+   * @returns whether it had room.
    *
    * @example
    * if (!budget.tryTake(nowMs)) giveUp();
    */
   tryTake(nowMs: number): boolean {
     if (!this.hasRoom(nowMs)) return false;
-    this.extras.push(nowMs);
+    this.retries.push(nowMs);
     this.saved = Math.max(0, this.saved - 1);
     return true;
   }
 
-  /** Whether {@link tryTake} would be granted now. */
+  /** Whether {@link tryTake} would succeed now. */
   hasRoom(nowMs: number): boolean {
     this.forget(nowMs);
-    const next = this.extras.length + 1;
+    const next = this.retries.length + 1;
     if (next <= this.floor) return true;
     return next <= this.allowance() && this.saved >= 1;
   }
@@ -102,7 +104,7 @@
   private forget(nowMs: number): void {
     const beginsAtMs = nowMs - this.options.windowMs;
     dropUntil(this.requests, beginsAtMs);
-    dropUntil(this.extras, beginsAtMs);
+    dropUntil(this.retries, beginsAtMs);
   }
 }
 
