--- a/packages/routing/src/attempt_policy.ts
+++ b/packages/routing/src/attempt_policy.ts
@@ -56,10 +56,10 @@
   const mayRun = mayRunAgain(route) && runs < route.maxAttempts;
   if (verdict !== 'not_run' && !mayRun) return {kind: 'give_up'};
   // An endpoint that rejects a request has spent work on it all the same. When
-  // many endpoints are replaced at once, most addresses belong to new ones that
-  // reject the request; outside the budget, these retries alone would add half
-  // to a service's traffic. Without a connection nothing has arrived, so the
-  // endpoint has spent nothing.
+  // many endpoints are replaced at once, most addresses belong to a different
+  // endpoint by now, which rejects the request; outside the budget, these
+  // retries alone would add half to a service's traffic. Without a connection
+  // nothing has arrived, so the endpoint has spent nothing.
   return {kind: 'retry', needsBudget: hasArrived};
 }
 
--- a/packages/routing/src/capacity_plan.ts
+++ b/packages/routing/src/capacity_plan.ts
@@ -63,9 +63,9 @@
  * Endpoints that are unavailable in one data centre at the moment are ordered
  * in the others: cheap ones for the usual headroom, and regular ones, which
  * cost several times as much, for the part of the current demand that is still
- * not covered. These are released once cheap ones are available again. Without
- * such replacements, two reclaims in succession leave a third of the endpoints
- * to carry everything.
+ * not covered. The regular ones are released once cheap ones are available
+ * again. Without such replacements, two reclaims in succession leave a third of
+ * the endpoints to carry everything.
  *
  * No target is set for an evacuated data centre: its endpoints stay as they
  * are, and the others replace their capacity. If its endpoints were released,
@@ -176,9 +176,7 @@
   }
 }
 
-/**
- * Share of a data centre's endpoints that serves while the rest is replaced.
- */
+/** Share of a data centre's endpoints that serve while the rest is replaced. */
 const KEPT_SHARE = 0.5;
 
 /**
--- a/packages/routing/src/data_centre_reach.ts
+++ b/packages/routing/src/data_centre_reach.ts
@@ -10,7 +10,7 @@
   readonly afterRefusals?: number;
   /** How long its endpoints get no requests before one is tried (600 ms). */
   readonly pauseMs?: number;
-  /** The pause doubles up to this (2,400 ms): cuts last for seconds. */
+  /** The pause doubles up to this (2,400 ms): partitions last for seconds. */
   readonly maxPauseMs?: number;
 }
 
--- a/packages/routing/src/duties.test.ts
+++ b/packages/routing/src/duties.test.ts
@@ -12,8 +12,8 @@
 import {sumCounts, UsageWindows, windowAt} from './usage_windows.js';
 
 test('instances whose times of day differ share one time', t => {
-  // Guards against usage in the wrong window: the time of day of one machine is
-  // wrong by seconds.
+  // Guards against usage in the wrong window, which makes two bills wrong: the
+  // time of day of one machine jumps by two seconds.
   const right = new AgreedClock(0, 1_000_000);
   const wrong = new AgreedClock(0, 1_002_400);
   const reading = {storeMs: 500, sentAtMs: 10, receivedAtMs: 14};
--- a/packages/routing/src/engine_split.test.ts
+++ b/packages/routing/src/engine_split.test.ts
@@ -72,7 +72,7 @@
   t.true(shareFor(agreed, burst) < 0.7 * shareFor(agreed, agreed));
 });
 
-test('a small change of the recent requests does not change the split', t => {
+test('a few recent requests do not change the split', t => {
   // Guards against instances that split the engines differently by their own
   // few requests at low load; streams stutter on engines that are on both
   // sides.
--- a/packages/routing/src/least_loaded_placement.ts
+++ b/packages/routing/src/least_loaded_placement.ts
@@ -15,7 +15,7 @@
 
 /** Options of {@link LeastLoadedPlacement}. */
 export interface LeastLoadedPlacementOptions extends PlacementState {
-  /** At least 0 and below 1; spreads the choices of instances. */
+  /** At least 0 and below 1; spreads instances with equal data. */
   readonly random?: () => number;
 }
 
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -109,8 +109,9 @@
 /**
  * The whole group if none of it is cold; its warm endpoints if one has room, or
  * else the warm ones with room among all usable endpoints. When there are none,
- * the cold ones that may still be sent a request, or else all warm ones. The group
- * is formed with the cold ones, so that it stays the same while they warm up.
+ * the cold ones that may still be sent a request, or else all warm ones. The
+ * group is formed with the cold ones, so that it stays the same while they warm
+ * up.
  *
  * @example
  * const admitted = leaveOutCold(group, usable, request, state);
--- a/packages/routing/src/shutdown.test.ts
+++ b/packages/routing/src/shutdown.test.ts
@@ -40,7 +40,7 @@
 ];
 
 for (const {what, atMs, patienceMs, isAdmitted} of ARRIVALS) {
-  test(`a shutdown ${isAdmitted ? 'admits' : 'refuses'} ${what}`, t => {
+  test(`a shutdown ${isAdmitted ? 'takes' : 'refuses'} ${what}`, t => {
     const shutdown = new Shutdown(SHUTDOWN);
     if (atMs >= SIGNAL_MS) shutdown.begin(SIGNAL_MS);
     const endsAtMs = atMs + patienceMs;
--- a/packages/routing/src/simulation/load_view_simulation.ts
+++ b/packages/routing/src/simulation/load_view_simulation.ts
@@ -45,18 +45,18 @@
  * const {p99} = simulateLoadView({...scenario, choice: 'sampled'});
  */
 export function simulateLoadView(scenario: LoadViewScenario): LoadViewOutcome {
-  const simulated = new SimulatedEngines(scenario);
-  const loads: number[] = [];
+  const world = new SimulatedEngines(scenario);
+  const met: number[] = [];
   let atMs = 0;
   while (atMs < scenario.durationMs) {
     atMs += exponential(1000 / scenario.requestsPerS, scenario.random);
-    loads.push(simulated.place(atMs));
+    met.push(world.place(atMs));
   }
-  loads.sort((one, other) => one - other);
-  const sum = loads.reduce((total, load) => total + load, 0);
+  met.sort((one, other) => one - other);
+  const sum = met.reduce((total, load) => total + load, 0);
   return {
-    mean: sum / loads.length,
-    p99: loads[Math.floor(loads.length * P99_QUANTILE)],
+    mean: sum / met.length,
+    p99: met[Math.floor(met.length * P99_QUANTILE)],
   };
 }
 
--- a/packages/routing/src/usage_windows.ts
+++ b/packages/routing/src/usage_windows.ts
@@ -21,7 +21,7 @@
    * A request of an account began to run.
    *
    * @example
-   * windows.count(account.id, agreedClock.nowEpochMs());
+   * windows.count(account.id, agreedClock.epochAt(nowMs));
    */
   count(account: ClientAccountId, epochMs: number): void {
     const window = windowAt(epochMs, this.windowMs);
--- a/packages/routing/src/usual_durations.ts
+++ b/packages/routing/src/usual_durations.ts
@@ -9,8 +9,8 @@
 const DURATION_QUANTILE = 0.9;
 
 /**
- * Keeps the latest durations. Streams count until their last event, requests that
- * were given up until that moment.
+ * Keeps the latest durations. Streams count until their last event, requests
+ * that were given up until that moment.
  */
 export class UsualDurations {
   private readonly byRoute = new Map<RouteId, number[]>();
--- a/packages/routing/src/warmup_gate.test.ts
+++ b/packages/routing/src/warmup_gate.test.ts
@@ -88,8 +88,8 @@
 }
 
 test('load pattern: three quarters more instances than were counted', t => {
-  // Guards against excess requests of instances that are missing in the last
-  // count.
+  // Guards against excess requests of instances that started, or were cut off,
+  // since the last count.
   for (let seed = 1; seed <= 10; seed++) {
     const arrivals = simulate({instances: 114, counted: 65, seed});
     t.true(mostInASecond(arrivals) <= MOST_IN_A_SECOND, `seed ${seed}`);
--- a/packages/routing/src/window_budget.ts
+++ b/packages/routing/src/window_budget.ts
@@ -58,7 +58,7 @@
   private readonly retries: number[] = [];
   private readonly floor: number;
   private readonly readMaxSaved: () => number;
-  /** Unused retries that earlier requests have allowed; the maximum at first. */
+  /** Unused retries that requests have allowed; the maximum at first. */
   private saved: number;
 
   constructor(private readonly options: WindowBudgetOptions) {
