--- a/packages/policy/src/adaptive_limit.test.ts
+++ b/packages/policy/src/adaptive_limit.test.ts
@@ -11,12 +11,12 @@
 };
 const CRASHED: LimitSample = {outcome: 'crashed', outputTokens: 0};
 
-/** An engine whose step takes 15 ms and 1.2 ms for each request it runs. */
+/** Step time of an engine: 15 ms, and 1.2 ms for each request it runs. */
 function stepMs(inFlight: number): number {
   return 15 + 1.2 * inFlight;
 }
 
-/** Runs as many as the limit allows, and reviews it each time. */
+/** Runs as many requests as the limit allows, reviewing it each time. */
 function saturate(limit: AdaptiveLimit, reviews: number): number[] {
   return Array.from({length: reviews}, (_, index) => {
     const nowMs = index * 500;
@@ -28,7 +28,7 @@
   });
 }
 
-/** A limit that slow streams have brought down. */
+/** A limit that slow streams have lowered. */
 function lowerLimit(): AdaptiveLimit {
   const limit = new AdaptiveLimit({maxConcurrency: 64});
   for (let review = 0; review < 10; review++) {
@@ -45,7 +45,7 @@
   t.true(permits.slice(-5).every(count => count >= 24 && count <= 26));
 });
 
-test('does not rise above what the endpoint is built for', t => {
+test('does not rise above the maximum concurrency', t => {
   const limit = new AdaptiveLimit({maxConcurrency: 8});
   t.deepEqual(new Set(saturate(limit, 20)), new Set([8]));
 });
@@ -61,9 +61,9 @@
 });
 
 test('one long prompt does not bring the limit down', t => {
-  // An idle engine reads a long prompt, and the few others wait for it. Taken as
-  // the speed of the engine, this left requests asking for permits in an idle
-  // cell, and their first tokens came later.
+  // An idle engine reads a long prompt, and its few other requests wait. Taken
+  // for the engine's speed, this lowered the limit: requests then had to ask
+  // for permits in an idle cell, and their first tokens came later.
   const limit = new AdaptiveLimit({maxConcurrency: 32});
   limit.progressed(90, TARGETS, 0);
   limit.review({inFlight: 1, typicalBetweenTokensMs: 20}, 0);
@@ -71,9 +71,9 @@
 });
 
 test('a first token in time does not raise the limit of a slow stream', t => {
-  // Reports of progress come less often than the limit is looked over. First
-  // tokens came early in between, the limit went up to the utmost each time, and
-  // callers of the top tier got every token after them too late.
+  // Progress reports come less often than reviews. Early first tokens in
+  // between raised the limit to the maximum each time, and callers of the top
+  // tier got every later token too late.
   const limit = lowerLimit();
   const lowered = limit.permits(0);
   limit.started(lowered, 100);
@@ -83,8 +83,8 @@
 });
 
 test('a crash takes the endpoint out until one probe succeeds', t => {
-  // The engine crashes while its last load report says that it is idle. By load
-  // alone it would get every request that comes.
+  // The engine crashes while its last load report says that it is idle. Chosen
+  // by load alone, it would get every new request.
   const limit = new AdaptiveLimit({maxConcurrency: 8});
   limit.finished(CRASHED, 0);
   limit.finished(CRASHED, 10);
@@ -98,7 +98,7 @@
   t.is(limit.permits(3200), 4);
 });
 
-test('one failure is borne, three in a row are not', t => {
+test('two failures are tolerated, a third in a row fails the endpoint', t => {
   const limit = new AdaptiveLimit({maxConcurrency: 8});
   const failed: LimitSample = {outcome: 'failed', outputTokens: 0};
   limit.finished(failed, 0);
@@ -109,8 +109,8 @@
 });
 
 test('an endpoint slower than the others gets one request at a time', t => {
-  // One engine slows down five times while its load report lags. Requests that
-  // go there would miss their target for nothing.
+  // One engine becomes five times slower while its load report lags. Requests
+  // sent there would miss their target needlessly.
   const limit = new AdaptiveLimit({maxConcurrency: 8});
   const review = (inFlight: number, nowMs: number) => {
     limit.progressed(120, TARGETS, nowMs);
@@ -126,8 +126,8 @@
 });
 
 test('an engine that hangs gets no new work until it produces again', t => {
-  // The engine hangs with its connections open. Nothing fails until the time
-  // limit between chunks, and until then it would be given more and more.
+  // The engine hangs with its connections open. Nothing fails before the
+  // timeout between chunks, and until then it would get more and more requests.
   const limit = new AdaptiveLimit({maxConcurrency: 8});
   limit.started(1, 0);
   limit.progressed(20, TARGETS, 500);
--- a/packages/policy/src/adaptive_limit.ts
+++ b/packages/policy/src/adaptive_limit.ts
@@ -1,14 +1,14 @@
 /**
- * A limit that follows the time between tokens, measured against the tightest
- * target served at the endpoint.
+ * A concurrency limit that follows the time between tokens, compared with the
+ * tightest target among the classes that the endpoint serves.
  *
- * The time of an engine's step grows about in line with its batch. So the batch
- * that just meets the target is estimated as the batch that runs now, times
- * target over measurement; from either side this comes nearer with each review
- * and does not overshoot. Weighed: additive increase with multiplicative
- * decrease, which saws around the target and goes on falling while what runs
- * drains; and the gradient against the lowest latency seen, which has no target
- * and takes any batching at all for congestion.
+ * An engine's step time grows roughly linearly with its batch. The batch that
+ * just meets the target is therefore estimated as the current batch, times the
+ * target over the measured time. The estimate converges from either side with
+ * each review and does not overshoot. Rejected alternatives: additive increase
+ * with multiplicative decrease, which oscillates around the target and keeps
+ * falling while running requests drain; and the gradient against the lowest
+ * latency seen, which has no target and takes any batching for congestion.
  */
 
 import {EndpointHealth} from './endpoint_health.js';
@@ -22,40 +22,43 @@
   type LimitSnapshot,
 } from './limit_policy.js';
 
-/** Aims this much below the target, for its tail. */
-const TARGET_MARGIN = 0.9;
+/** Share of the target that is aimed at; the rest is margin for the tail. */
+const AIMED_TARGET_SHARE = 0.9;
 const MIN_LIMIT = 1;
-/** Part of the way to the estimate that a rising limit goes in one review. */
-const RISE_PART = 0.5;
-/** What is left of a limit after a review, at least. */
-const MAX_FALL = 0.8;
-/** Where little runs, a limit is taken over at this part of the utmost. */
-const LEAST_TAKEN_OVER_PART = 0.25;
-/** How long a class counts as served after its last measurement. */
-const TARGET_MEMORY_MS = 10_000;
-/** Slower than the others by this much is slow, if it misses its target too. */
+/** Share of the distance to the estimate that a limit rises in one review. */
+const RISE_SHARE = 0.5;
+/** Share of the limit that is kept, at least, when a review lowers it. */
+const MIN_KEPT_SHARE = 0.8;
+/** Lower bound of a limit at takeover, as a share of the maximum. */
+const MIN_TAKEOVER_SHARE = 0.25;
+/** How long a class's target counts after its last measurement. */
+const TARGET_VALID_MS = 10_000;
+/**
+ * An endpoint that misses its target is slow if its time between tokens is
+ * above the typical one times this.
+ */
 const SLOW_RATIO = 1.5;
-/** Reviews in a row after which an endpoint is taken as slower than others. */
-const SLOWER_REVIEWS = 3;
+/** Consecutive reviews after which an endpoint counts as slower than others. */
+const SLOWER_REVIEW_COUNT = 3;
 const STALLED_AFTER_MS = 3000;
-const FIRST_SLOW_PROBE_MS = 1000;
-const MAX_SLOW_PROBE_MS = 8000;
+const MIN_SLOW_PROBE_INTERVAL_MS = 1000;
+const MAX_SLOW_PROBE_INTERVAL_MS = 8000;
 
 /**
- * Adapts the limit, and keeps work from an endpoint that has failed, stalls or
- * is slower than the others.
+ * Adapts the limit, and withholds work from an endpoint that has failed, stalls
+ * or is slower than the others.
  *
  * @example
  * const limit = new AdaptiveLimit({maxConcurrency: 32});
- * limit.permits(nowMs); // 32 until it has been measured
+ * limit.permits(nowMs); // 32 until latency has been measured
  */
 export class AdaptiveLimit extends LimitPolicy {
   private readonly health = new EndpointHealth();
-  /** When each time between tokens was last aimed at. */
+  /** When each target for the time between tokens was last reported. */
   private readonly targetSeenAtMs = new Map<number, number>();
   private limit: number;
-  private mostInFlight = 0;
-  /** Times between tokens of what runs, and of what has ended. */
+  private peakInFlight = 0;
+  /** Times between tokens of running attempts, and of ended ones. */
   private runningSamples: number[] = [];
   private endedSamples: number[] = [];
   private firstTokenRatios: number[] = [];
@@ -63,7 +66,7 @@
   private lastTokenAtMs: number | undefined;
   private stalled = false;
   private slowerReviews = 0;
-  private slowProbeEveryMs = 0;
+  private slowProbeIntervalMs = 0;
   private slowProbeAtMs = 0;
 
   constructor(options: LimitPolicyOptions) {
@@ -90,9 +93,9 @@
   }
 
   started(inFlight: number, nowMs: number): void {
-    this.mostInFlight = Math.max(this.mostInFlight, inFlight);
+    this.peakInFlight = Math.max(this.peakInFlight, inFlight);
     if (inFlight === 1) this.lastTokenAtMs = nowMs;
-    if (this.isSlow) this.slowProbeAtMs = nowMs + this.slowProbeEveryMs;
+    if (this.isSlow) this.slowProbeAtMs = nowMs + this.slowProbeIntervalMs;
   }
 
   finished(sample: LimitSample, nowMs: number): void {
@@ -104,7 +107,7 @@
       this.endedSamples.push(sample.betweenTokensMs);
     }
     if (sample.targets === undefined) return;
-    this.remember(sample.targets, nowMs);
+    this.recordTargets(sample.targets, nowMs);
     if (sample.firstTokenMs !== undefined) {
       const {firstTokenTargetMs} = sample.targets;
       this.firstTokenRatios.push(sample.firstTokenMs / firstTokenTargetMs);
@@ -119,31 +122,31 @@
     this.lastTokenAtMs = nowMs;
     this.stalled = false;
     this.runningSamples.push(betweenTokensMs);
-    if (targets !== undefined) this.remember(targets, nowMs);
+    if (targets !== undefined) this.recordTargets(targets, nowMs);
   }
 
   /**
-   * What runs is about what the former owner held right. Begun at the utmost, the
-   * limit would let in a whole batch too many, and all streams would miss their
-   * target until the next few reviews.
+   * The number in flight is close to the former owner's limit. Starting at the
+   * maximum would admit a whole batch too many, and all streams would miss
+   * their target for the next few reviews.
    */
   takeOver(inFlight: number): void {
-    const least = this.maxConcurrency * LEAST_TAKEN_OVER_PART;
+    const least = this.maxConcurrency * MIN_TAKEOVER_SHARE;
     this.limit = Math.min(this.limit, Math.max(inFlight, least, MIN_LIMIT));
   }
 
   review(review: LimitReview, nowMs: number): void {
-    this.noticeStall(review, nowMs);
-    const ratio = this.takeRatio(nowMs);
+    this.detectStall(review, nowMs);
+    const ratio = this.takeLatencyRatio(nowMs);
     if (ratio !== undefined && review.inFlight > 0) {
       this.slowerReviews = this.isSlowerThanOthers(review, ratio)
         ? this.slowerReviews + 1
         : 0;
-      const slower = this.slowerReviews >= SLOWER_REVIEWS;
+      const slower = this.slowerReviews >= SLOWER_REVIEW_COUNT;
       this.adapt(review.inFlight, ratio, slower);
       this.probeSlow(slower, nowMs);
     }
-    this.mostInFlight = review.inFlight;
+    this.peakInFlight = review.inFlight;
   }
 
   snapshot(nowMs: number): LimitSnapshot {
@@ -155,7 +158,7 @@
   }
 
   private get isSlow(): boolean {
-    return this.slowProbeEveryMs > 0;
+    return this.slowProbeIntervalMs > 0;
   }
 
   private condition(nowMs: number): EndpointCondition {
@@ -167,25 +170,29 @@
   }
 
   /**
-   * Measured over target since the last review; above 1 it is too slow. Where
-   * tokens are streamed, a first token in time does not show that more fit: it
-   * comes early however slowly the others follow. Taken alone it raised limits
-   * to the utmost between two reports of progress.
+   * Ratio of the latency measured since the last review to its target; above 1
+   * is too slow. Where tokens are streamed, a first token in time does not show
+   * that more requests fit: it comes early however slowly the others follow.
+   * Taken alone, first tokens raised limits to the maximum between two progress
+   * reports.
    */
-  private takeRatio(nowMs: number): number | undefined {
+  private takeLatencyRatio(nowMs: number): number | undefined {
     const between = this.takeBetweenTokensMs();
     const firstToken = mean(this.firstTokenRatios);
     this.firstTokenRatios = [];
     const targetMs = this.tightestTargetMs(nowMs);
     if (between !== undefined && targetMs !== undefined) {
-      return Math.max(between / (targetMs * TARGET_MARGIN), firstToken ?? 0);
+      return Math.max(
+        between / (targetMs * AIMED_TARGET_SHARE),
+        firstToken ?? 0,
+      );
     }
     const streams = this.betweenTokensMs !== undefined;
     const tooSlow = firstToken !== undefined && firstToken > 1;
     return !streams || tooSlow ? firstToken : undefined;
   }
 
-  /** What runs tells of now; what has ended, of its whole time. */
+  /** Prefers running attempts: ended ones average over their whole duration. */
   private takeBetweenTokensMs(): number | undefined {
     const between = mean(this.runningSamples) ?? mean(this.endedSamples);
     this.runningSamples = [];
@@ -194,20 +201,24 @@
     return between;
   }
 
-  /** Rises only when it was used up: an idle engine's speed proves nothing. */
+  /**
+   * Lowers the limit when too slow; raises it only if it was used up, since an
+   * idle engine's speed proves nothing.
+   */
   private adapt(inFlight: number, ratio: number, slower: boolean): void {
     const estimate = inFlight / ratio;
     if (ratio > 1) {
-      // With little running, one long prompt makes a review look too slow. An
-      // engine that is slower than the others is another matter.
-      const least = slower ? MIN_LIMIT : this.limit * MAX_FALL;
+      // With few requests running, one long prompt makes a review look too
+      // slow, so one review lowers the limit only a little. An engine that is
+      // slower than the others falls to its estimate at once.
+      const least = slower ? MIN_LIMIT : this.limit * MIN_KEPT_SHARE;
       const lowered = Math.max(least, estimate, MIN_LIMIT);
       this.limit = Math.min(this.limit, lowered);
       return;
     }
-    const binding = this.mostInFlight >= Math.floor(this.limit);
+    const binding = this.peakInFlight >= Math.floor(this.limit);
     if (!binding || estimate <= this.limit) return;
-    const rise = Math.max(1, (estimate - this.limit) * RISE_PART);
+    const rise = Math.max(1, (estimate - this.limit) * RISE_SHARE);
     this.limit = Math.min(this.maxConcurrency, this.limit + rise);
   }
 
@@ -221,36 +232,39 @@
   }
 
   /**
-   * At the smallest limit and still too slow, while others are not: requests
-   * would miss their target there for nothing, so it gets one at a time, with
-   * growing pauses, until one is served as fast as elsewhere.
+   * An endpoint that is too slow even at the smallest limit, while others are
+   * not, gets one request at a time at growing intervals until it is as fast as
+   * the others: more requests would miss their target there for nothing.
    */
   private probeSlow(slower: boolean, nowMs: number): void {
     if (!slower) {
-      this.slowProbeEveryMs = 0;
+      this.slowProbeIntervalMs = 0;
       return;
     }
     if (this.limit > MIN_LIMIT || nowMs < this.slowProbeAtMs) return;
-    const doubled = Math.max(FIRST_SLOW_PROBE_MS, this.slowProbeEveryMs * 2);
-    this.slowProbeEveryMs = Math.min(MAX_SLOW_PROBE_MS, doubled);
-    this.slowProbeAtMs = nowMs + this.slowProbeEveryMs;
+    const doubled = Math.max(
+      MIN_SLOW_PROBE_INTERVAL_MS,
+      this.slowProbeIntervalMs * 2,
+    );
+    this.slowProbeIntervalMs = Math.min(MAX_SLOW_PROBE_INTERVAL_MS, doubled);
+    this.slowProbeAtMs = nowMs + this.slowProbeIntervalMs;
   }
 
-  /** Only where tokens have been seen: plain services stream none. */
-  private noticeStall({inFlight}: LimitReview, nowMs: number): void {
+  /** Applies only once tokens were measured: plain services stream none. */
+  private detectStall({inFlight}: LimitReview, nowMs: number): void {
     const measured = this.betweenTokensMs !== undefined;
     if (!measured || inFlight === 0 || this.lastTokenAtMs === undefined) return;
     this.stalled = nowMs - this.lastTokenAtMs > STALLED_AFTER_MS;
   }
 
-  private remember(targets: LatencyTargets, nowMs: number): void {
+  private recordTargets(targets: LatencyTargets, nowMs: number): void {
     this.targetSeenAtMs.set(targets.betweenTokensTargetMs, nowMs);
   }
 
   private tightestTargetMs(nowMs: number): number | undefined {
     let tightest: number | undefined;
     for (const [targetMs, atMs] of this.targetSeenAtMs) {
-      if (nowMs - atMs > TARGET_MEMORY_MS) this.targetSeenAtMs.delete(targetMs);
+      if (nowMs - atMs > TARGET_VALID_MS) this.targetSeenAtMs.delete(targetMs);
       else tightest = Math.min(tightest ?? Infinity, targetMs);
     }
     return tightest;
--- a/packages/policy/src/baseline_choices.ts
+++ b/packages/policy/src/baseline_choices.ts
@@ -1,9 +1,9 @@
-/** Endpoint choices kept for comparison. */
+/** Baseline endpoint choices, for comparison. */
 
 import type {PermitAsk} from '@snipestage/types/permits.js';
 import {EndpointChoice, type EndpointView} from './endpoint_choice.js';
 
-/** Each endpoint in its turn. */
+/** Each endpoint in turn, in the order of ids. */
 export class RoundRobinChoice extends EndpointChoice {
   private last = '';
 
--- a/packages/policy/src/bounded_assignment.ts
+++ b/packages/policy/src/bounded_assignment.ts
@@ -1,12 +1,15 @@
-/** Assigns items to bins by rendezvous hashing, evenly and without memory. */
+/** Assigns items to bins by rendezvous hashing, evenly and without state. */
 
 import {hashText} from './rendezvous.js';
 
-/** What {@link assignBounded} assigns. */
+/** Options of {@link assignBounded}. */
 export interface AssignmentOptions<Item extends string, Bin extends string> {
   readonly items: Iterable<Item>;
   readonly bins: Iterable<Bin>;
-  /** Different bins that each item gets. */
+  /**
+   * Different bins for each item, 1 by default. With more than 1, an item can
+   * get fewer if all other bins are full.
+   */
   readonly binsPerItem?: number;
 }
 
@@ -17,10 +20,11 @@
 }
 
 /**
- * Each item goes to the bins of its highest weights that are not full; a bin is
- * full at the mean, rounded up. All that know the same items and bins come to
- * the same result, and few items move when one comes or goes. Plain rendezvous
- * hashing, without the bound, would leave some bins with twice the mean.
+ * Assigns each item to the bins of its highest weights that are not full; a bin
+ * is full at the mean number of items, rounded up. Callers with the same items
+ * and bins get the same result, and few items move when one is added or
+ * removed. Plain rendezvous hashing, without the bound, would give some bins
+ * twice the mean.
  *
  * @example
  * assignBounded({items: endpointIds, bins: cellIds}).get(cellId);
--- a/packages/policy/src/endpoint_choice.test.ts
+++ b/packages/policy/src/endpoint_choice.test.ts
@@ -24,7 +24,7 @@
   t.true(isEligible(makeAsk('a', {cheapAllowed: true}), cheap));
 });
 
-test('of two endpoints the one with less of its limit used', t => {
+test('chooses the endpoint with the smaller share of its limit in use', t => {
   const views = [
     view('e1', {inFlight: 4}),
     view('e2', {inFlight: 9, limit: 30}),
@@ -34,13 +34,13 @@
   }
 });
 
-test('what may run on cheap endpoints goes there first', t => {
+test('requests that may run on cheap endpoints go there first', t => {
   const views = [view('e1'), view('cheap', {kind: 'cheap', inFlight: 9})];
   const ask = makeAsk('a', {cheapAllowed: true});
   t.is(choice.choose(ask, views, random).id, views[1].id);
 });
 
-test('a prompt goes where its start was, up to a bound', t => {
+test('prefix affinity keeps a prompt at one endpoint, up to a load bound', t => {
   const ask = makeAsk('a', {prefixHash: 'warranty manual'});
   const idle = ['e1', 'e2', 'e3', 'e4'].map(id => view(id));
   const preferred = choice.choose(ask, idle, random).id;
@@ -50,13 +50,13 @@
   t.not(choice.choose(ask, load(5), random).id, preferred);
 });
 
-test('the top tier does not probe while another endpoint is sound', t => {
+test('the top tier does not probe while another endpoint is healthy', t => {
   const views = [view('e1', {probing: true}), view('e2', {inFlight: 9})];
   t.is(choice.choose(makeAsk('a'), views, random).id, views[1].id);
   t.is(choice.choose(makeAsk('a'), [views[0]], random).id, views[0].id);
 });
 
-test('the baselines choose in turn and by requests in flight', t => {
+test('the baselines choose in turn and by fewest requests in flight', t => {
   const views = [
     view('e2', {inFlight: 1, limit: 1}),
     view('e1', {inFlight: 2}),
--- a/packages/policy/src/endpoint_choice.ts
+++ b/packages/policy/src/endpoint_choice.ts
@@ -1,26 +1,26 @@
-/** Which endpoint of a cell runs a request. */
+/** Chooses the endpoint of a cell that runs a request. */
 
 import type {EndpointKind} from '@snipestage/types/configuration.js';
 import type {EndpointId} from '@snipestage/types/ids.js';
 import type {PermitAsk} from '@snipestage/types/permits.js';
 import type {RandomSource} from './random_source.js';
 
-/** An endpoint as a choice sees it. */
+/** Properties of an endpoint that a choice depends on. */
 export interface EndpointView {
   readonly id: EndpointId;
   readonly kind: EndpointKind;
-  /** Permits that it has in all, at least 1. */
+  /** Permits in total, at least 1. */
   readonly limit: number;
   readonly inFlight: number;
-  /** Permits that can be given now, at least 1. */
+  /** Permits that can be granted now, at least 1. */
   readonly free: number;
-  /** Its next request tells whether it has recovered. */
+  /** Its next request is a probe of whether it has recovered. */
   readonly probing: boolean;
 }
 
 /** Chooses among endpoints that may run a request and have a permit free. */
 export abstract class EndpointChoice {
-  /** `candidates` has at least one. */
+  /** `candidates` is not empty. */
   abstract choose(
     ask: PermitAsk,
     candidates: readonly EndpointView[],
@@ -28,7 +28,7 @@
   ): EndpointView;
 }
 
-/** What decides whether an endpoint may run a request at all. */
+/** Properties that decide whether an endpoint may run a request at all. */
 export interface EligibleEndpoint {
   readonly id: EndpointId;
   readonly kind: EndpointKind;
@@ -36,7 +36,7 @@
 }
 
 /**
- * Whether an endpoint may ever run the request, free or not.
+ * Whether an endpoint may run the request, regardless of free permits.
  *
  * @example
  * isEligible(ask, endpoint); // false when it is leaving
@@ -50,7 +50,10 @@
   return !ask.excluded.includes(endpoint.id);
 }
 
-/** Least in flight relative to the limit, the first of equals. */
+/**
+ * Compares requests in flight relative to the limit, the least loaded first; 0
+ * for equals, of which callers take the first.
+ */
 export function compareLoad(a: EndpointView, b: EndpointView): number {
   return a.inFlight / a.limit - b.inFlight / b.limit;
 }
--- a/packages/policy/src/endpoint_health.ts
+++ b/packages/policy/src/endpoint_health.ts
@@ -1,22 +1,25 @@
 /**
- * Whether an endpoint may get work, from what its own attempts came to: load
- * reports lag, and a crashed engine's last report says that it is idle.
+ * Whether an endpoint may get work, judged by the outcomes of its own attempts:
+ * load reports lag, and a crashed engine's last report says that it is idle.
  */
 
 import type {AttemptOutcome} from '@snipestage/types/permits.js';
 
-/** Failures in a row after which an endpoint is taken as failed. */
-const FAILURES_IN_A_ROW = 3;
+/** Consecutive failures after which an endpoint counts as failed. */
+const CONSECUTIVE_FAILURE_COUNT = 3;
 const FIRST_BACKOFF_MS = 1000;
 const MAX_BACKOFF_MS = 30_000;
 
-/** Fails after a crash or several failures; recovers by probes one at a time. */
+/**
+ * An endpoint fails after a crash or several consecutive failures, and recovers
+ * by probes, one at a time.
+ */
 export class EndpointHealth {
-  private failuresInARow = 0;
+  private consecutiveFailures = 0;
   private backoffMs = 0;
   private failedAtMs: number | undefined;
 
-  /** Out of use, a probe being due or not. */
+  /** Whether the endpoint is out of use, even if a probe is due. */
   get failed(): boolean {
     return this.failedAtMs !== undefined;
   }
@@ -27,7 +30,7 @@
     return Math.max(nowMs, this.failedAtMs + this.backoffMs);
   }
 
-  /** True if the endpoint has just recovered. */
+  /** Records an outcome; true if the endpoint has just recovered. */
   finished(outcome: AttemptOutcome, nowMs: number): boolean {
     switch (outcome) {
       case 'ok':
@@ -37,8 +40,11 @@
         return false;
       case 'failed':
       case 'timeout':
-        this.failuresInARow++;
-        if (this.failed || this.failuresInARow >= FAILURES_IN_A_ROW) {
+        this.consecutiveFailures++;
+        if (
+          this.failed ||
+          this.consecutiveFailures >= CONSECUTIVE_FAILURE_COUNT
+        ) {
           this.fail(nowMs);
         }
         return false;
@@ -49,15 +55,15 @@
 
   private succeeded(): boolean {
     const recovered = this.failed;
-    this.failuresInARow = 0;
+    this.consecutiveFailures = 0;
     this.failedAtMs = undefined;
     this.backoffMs = 0;
     return recovered;
   }
 
   /**
-   * Attempts that were in flight at a crash end one after the other; only the
-   * first counts, else one crash would look like many failed probes.
+   * Attempts that were in flight at a crash end one after another. Only the
+   * first counts; otherwise one crash would look like many failed probes.
    */
   private fail(nowMs: number): void {
     if (this.failedAtMs !== undefined && this.probeAtMs(nowMs) > nowMs) return;
--- a/packages/policy/src/endpoint_plan.test.ts
+++ b/packages/policy/src/endpoint_plan.test.ts
@@ -87,7 +87,7 @@
   };
 }
 
-/** `{'poa-a': [regular, cheap]}` */
+/** Targets by data centre: `{'poa-a': [regular, cheap]}`. */
 function countsOf({targets}: EndpointPlan) {
   const counts: Record<string, number[]> = {};
   for (const {dataCentre, kind, targetCount} of targets) {
@@ -97,7 +97,7 @@
   return counts;
 }
 
-test('strict work gets regular endpoints, the rest cheap ones spread out', t => {
+test('strict work gets regular endpoints, the rest spread-out cheap ones', t => {
   const plan = planEndpoints(input({demand: demand('poa-a', 21, 21)}));
   t.deepEqual(countsOf(plan), {
     'poa-a': [3, 1],
@@ -107,7 +107,7 @@
   t.deepEqual(plan.shortfalls, []);
 });
 
-test('a single data centre holds half of the cheap work at the most', t => {
+test('a single data centre holds at most half of the cheap work', t => {
   const plan = planEndpoints(
     input({
       dataCentres: [centre('poa-a')],
@@ -118,13 +118,13 @@
   t.deepEqual(countsOf(plan), {'poa-a': [3, 2]});
 });
 
-test('cheap ones that are hardly cheaper are not worth their loss', t => {
+test('cheap endpoints that are hardly cheaper are not used', t => {
   const pools = [pool('poa-a', {cheapPricePerHour: 3.9})];
   const plan = planEndpoints(input({pools, demand: demand('poa-a', 0, 28)}));
   t.deepEqual(countsOf(plan), {'poa-a': [4, 0]});
 });
 
-test('what an endpoint was found to carry counts more than its make', t => {
+test('learned concurrency takes precedence over the configured one', t => {
   const learned = new Map([['poa-a/report', 5]]);
   const plan = planEndpoints(
     input({
@@ -136,9 +136,10 @@
   t.deepEqual(countsOf(plan), {'poa-a': [2, 0]});
 });
 
-// A data centre is cut off or burnt down. Its callers come to the others, which
-// must have endpoints for them before the first minutes' queue has timed out.
-test('the work of a data centre that is gone goes to the others', t => {
+// A data centre is cut off or destroyed. Its callers go to the others, which
+// must have endpoints for them before requests queued in the first minutes time
+// out.
+test('the work of an unreachable data centre goes to the others', t => {
   const gone = {...centre('poa-a'), reachable: false};
   const plan = planEndpoints(
     input({
@@ -149,7 +150,7 @@
   t.deepEqual(countsOf(plan), {'poa-b': [2, 0], 'floripa-c': [2, 0]});
 });
 
-test('what the pools may not hold is told', t => {
+test('demand beyond the limits of the pools is reported', t => {
   const pools = [
     pool('poa-a', {maxRegular: 2}),
     pool('poa-b', {maxRegular: 1}),
@@ -161,9 +162,9 @@
   t.like(none.shortfalls[0], {reason: 'no_data_centre'});
 });
 
-// For hours the platform has no cheap endpoints. Work that was to run on them
-// would wait for endpoints that never come.
-test('without cheap endpoints regular ones take the work, then cheap again', t => {
+// The platform has no cheap endpoints for hours. Work planned for them would
+// wait for endpoints that never start.
+test('regular endpoints replace missing cheap ones, which are retried', t => {
   const asked = input({pools: [pool('poa-a')], demand: demand('poa-a', 0, 14)});
   let plan = planEndpoints(asked);
   t.deepEqual(countsOf(plan), {'poa-a': [1, 1]});
@@ -202,21 +203,22 @@
   });
 }
 
-test('a lull gives nothing up, a longer one what was not needed in it', t => {
+test('a short lull gives up nothing, a long one all but its highest need', t => {
   const counts = planOver([0, 35], [1, 7], [6, 21], [10, 7], [11, 7]);
   t.deepEqual(counts, [5, 5, 5, 5, 3]);
 });
 
-// Demand is measured in moments. Were each peak ordered at once, endpoints would
-// be paid for minutes that had work for seconds.
-test('a peak orders nothing, a rise that lasts what it needs throughout', t => {
+// Demand is measured at single moments. If each peak were ordered at once,
+// endpoints with work for seconds would be paid for minutes.
+test('a peak orders nothing, a lasting rise what it needs throughout', t => {
   t.deepEqual(planOver([0, 7], [1, 70], [1.2, 7], [1.6, 70]), [1, 1, 1, 1]);
   t.deepEqual(planOver([0, 7], [1, 70], [1.2, 28], [1.5, 35]), [1, 1, 1, 4]);
 });
 
-// An endpoint is drained and looks idle. Another instance has not heard of it
-// and sends it a request; were it given up now, that request would be cut.
-test('surplus endpoints drain first and are given up when idle for good', t => {
+// A drained endpoint looks idle, but another instance does not know of the
+// drain yet and sends it a request, which would be cut if the endpoint were
+// given up.
+test('surplus endpoints drain first and are released once idle and settled', t => {
   const endpoints = [0, 1, 2, 3].map(number =>
     endpoint('poa-a', 'regular', number, {running: number}),
   );
@@ -241,7 +243,7 @@
     [...endpointsWithoutNewWork(world.endpoints, plan.targets)],
     [leaving.id, endpoints[0].id, endpoints[1].id],
   );
-  // By then others have less to finish; the drained ones stay drained.
+  // Others have fewer requests running by then; the drained ones stay drained.
   const later = planEndpoints({
     ...world,
     endpoints: endpoints.map((each, index) => ({
@@ -258,7 +260,7 @@
   });
 });
 
-/** A platform that starts endpoints in five minutes; work takes two to finish. */
+/** The platform starts endpoints in 5 minutes; work takes 2 to finish. */
 function simulate(changes: Partial<PlanInput>, minutes: number) {
   let endpoints = [0, 1, 2].flatMap(number =>
     ['poa-a', 'poa-b', 'floripa-c'].map(id => endpoint(id, 'regular', number)),
@@ -313,8 +315,8 @@
   return history;
 }
 
-// Two data centres must be left by one date. If both drained at once, or before
-// their replacements serve, callers would find no endpoint in between.
+// Two data centres must be left by the same date. If both drained at once, or
+// before their replacements serve, callers would meanwhile find no endpoint.
 test('data centres leave one after the other, replaced before they drain', t => {
   const leaveBy = DATE + 90 * MINUTE_MS;
   const history = simulate(
@@ -339,9 +341,9 @@
   t.deepEqual(history.at(-1)?.serving, {'floripa-c': 9});
 });
 
-// The others can't get enough endpoints by the date. The data centre has to be
-// left all the same, and operators must have heard of it before.
-test('a departure that can not be replaced is told, and still ends in time', t => {
+// The others can't get enough endpoints by the date. The data centre must be
+// left regardless, and operators must be warned before.
+test('a departure without replacement is reported and drains in time', t => {
   const leaveBy = DATE + 15 * MINUTE_MS;
   const world = {
     dataCentres: [centre('poa-a', leaveBy), centre('poa-b')],
@@ -372,7 +374,7 @@
 const anyDemand = fc.integer({min: 0, max: 120});
 const anyLimit = fc.integer({min: 0, max: 12});
 
-test('the top tiers never depend on cheap endpoints, whatever the world', t => {
+test('the top tiers never depend on cheap endpoints, for any input', t => {
   const anyCentre = fc.record({
     strict: anyDemand,
     flexible: anyDemand,
@@ -435,7 +437,7 @@
     )
     .reduce((sum, each) => sum + each.targetCount, 0);
   if (!isLost && regular * PER_ENDPOINT < strict - 1e-6) {
-    throw new Error('strict work without regular endpoints');
+    throw new Error('too few regular endpoints for the strict work');
   }
   const flexible = world.demand
     .filter(line => line.cheapAllowed && line.tier > 0)
@@ -451,10 +453,10 @@
     );
     const busy = there.filter(each => each.running > 0);
     if (busy.some(each => release.includes(each.id))) {
-      throw new Error('an endpoint is given up that runs something');
+      throw new Error('released an endpoint with running requests');
     }
     if (drain.length > 0 && targetCount < there.length - release.length) {
-      throw new Error('the platform would take one that was not released');
+      throw new Error('target count would remove an unreleased endpoint');
     }
   }
 }
--- a/packages/policy/src/endpoint_plan.ts
+++ b/packages/policy/src/endpoint_plan.ts
@@ -1,7 +1,7 @@
 /**
- * How many endpoints of each kind each data centre shall have. Pure and without
- * chance: instances with the same input come to the same plan, and a new holder
- * of the lease goes on where the last one stopped.
+ * Plans how many endpoints of each kind each data centre needs. Pure and
+ * deterministic: instances with the same input compute the same plan, and a new
+ * lease holder carries on from the endpoints that exist.
  */
 
 import type {EndpointKind} from '@snipestage/types/configuration.js';
@@ -14,7 +14,7 @@
 } from './endpoint_plan_departures.js';
 import {divideDemand, type PoolDemand} from './endpoint_plan_demand.js';
 import {
-  noteDrained,
+  recordDrainStarts,
   presentOf,
   targetOf,
   type DrainState,
@@ -24,7 +24,7 @@
   EMPTY_PLAN_MEMORY,
   type Departure,
   type EndpointPlan,
-  type HeldCount,
+  type DampedCount,
   type PlanInput,
   type PlanMemory,
   type PlanOptions,
@@ -32,7 +32,7 @@
   type PoolTarget,
   type Shortfall,
 } from './endpoint_plan_input.js';
-import {holdCount, noteCheap} from './endpoint_plan_memory.js';
+import {dampCount, trackCheapAvailability} from './endpoint_plan_memory.js';
 import {
   countMissing,
   isCheapLive,
@@ -45,20 +45,20 @@
   type Supply,
 } from './endpoint_plan_supply.js';
 
-/** The input with what is worked out of it first. */
+/** The input, and values derived from it. */
 interface Context {
   readonly input: PlanInput;
   readonly options: PlanOptions;
   readonly memory: PlanMemory;
-  readonly begun: readonly ScheduledDeparture[];
+  readonly startedDepartures: readonly ScheduledDeparture[];
   readonly drainState: DrainState;
 }
 
 /**
  * Plans targets from demand, prices, limits and leaving dates. A data centre
- * that leaves keeps its endpoints until the others can carry its work, then
- * drains. A data centre that can't be reached gets no target: its own instances
- * go on with what it has.
+ * that leaves keeps its endpoints until the others can carry its work, or until
+ * it must drain to meet its date; then it drains. An unreachable data centre
+ * gets no target: its own instances go on with the endpoints that it has.
  *
  * @example
  * const plan = planEndpoints({...input, memory: lastPlan.memory});
@@ -67,17 +67,17 @@
   const context = createContext(input);
   const {demands, unserved} = divideDemand(
     input,
-    new Set(context.begun.map(departure => departure.dataCentre)),
+    new Set(context.startedDepartures.map(departure => departure.dataCentre)),
     context.options,
   );
-  const cheap = noteCheapOfAll(context);
+  const cheap = trackAllCheapAvailability(context);
   const supply = planSupply(
     demands,
     demand => cheapLimitOf(demand, context, cheap),
     context.options,
   );
   const departures = decideDepartures(context, supply);
-  const pools = holdAll(context, supply, cheap);
+  const pools = dampAllCounts(context, supply, cheap);
   const targets = [
     ...supply.needs.flatMap(need => stayingTargets(need, context, pools)),
     ...departures.flatMap(departure => leavingTargets(departure, context)),
@@ -89,9 +89,9 @@
       ...unserved.map(({model, concurrency}) => ({
         model,
         reason: 'no_data_centre' as const,
-        missing: endpointsFor(model, concurrency, context),
+        missing: countEndpointsFor(model, concurrency, context),
       })),
-      ...findLate(context, departures, supply),
+      ...findLateReplacements(context, departures, supply),
     ],
     departures,
     memory: {
@@ -99,7 +99,7 @@
       draining: departures
         .filter(departure => departure.phase === 'draining')
         .map(departure => departure.dataCentre),
-      drainedSinceEpochMs: noteDrained(targets, context.drainState),
+      drainedSinceEpochMs: recordDrainStarts(targets, context.drainState),
     },
   };
 }
@@ -107,7 +107,7 @@
 function createContext(input: PlanInput): Context {
   const options = {...DEFAULT_PLAN_OPTIONS, ...input.options};
   const schedule = scheduleDepartures(input.dataCentres, options);
-  const begun = findDepartures(
+  const startedDepartures = findDepartures(
     schedule,
     input.endpoints,
     input.nowEpochMs,
@@ -119,20 +119,25 @@
     settleMs: options.settleMs,
     drainedSinceEpochMs: memory.drainedSinceEpochMs,
   };
-  return {input, options, memory, begun, drainState};
+  return {input, options, memory, startedDepartures, drainState};
 }
 
-function noteCheapOfAll({input, options, memory}: Context) {
+function trackAllCheapAvailability({input, options, memory}: Context) {
   const notes = input.pools.map(pool => {
     const have = presentOf(pool, 'cheap', input.endpoints).length;
     const before = memory.pools[pool.id] ?? {};
-    const note = noteCheap(before, have, input.nowEpochMs, options);
+    const note = trackCheapAvailability(
+      before,
+      have,
+      input.nowEpochMs,
+      options,
+    );
     return [pool.id, note] as const;
   });
   return new Map<string, PoolMemory>(notes);
 }
 
-/** Where none are to be had, those that are there still count. */
+/** While cheap endpoints are unavailable, those present still count. */
 function cheapLimitOf(
   {pool}: PoolDemand,
   {input}: Context,
@@ -145,7 +150,7 @@
   return Math.min(pool.maxCheap, have);
 }
 
-function holdAll(
+function dampAllCounts(
   {input, options, memory}: Context,
   supply: Supply,
   cheap: ReadonlyMap<string, PoolMemory>,
@@ -155,10 +160,10 @@
     const {pool} = need.demand;
     const before = memory.pools[pool.id] ?? {};
     const note = cheap.get(pool.id) ?? {};
-    const isAway = note.cheapAwayUntilEpochMs !== undefined;
-    // Regular ones stay until the cheap ones in their place are there.
+    const isUnavailable = note.cheapAwayUntilEpochMs !== undefined;
+    // Regular endpoints stay until the cheap ones that replace them are live.
     const mayFall = isCheapLive(supply, pool.model, input);
-    const regular = holdCount(
+    const regular = dampCount(
       before.regular ?? presentCount(need, 'regular', input),
       need.regular,
       nowEpochMs,
@@ -166,45 +171,45 @@
       mayFall,
     );
     const cheapBefore = before.cheap ?? presentCount(need, 'cheap', input);
-    const cheapHeld = isAway
+    const cheapCount = isUnavailable
       ? {count: need.cheap}
-      : holdCount(cheapBefore, need.cheap, nowEpochMs, options);
-    const clamped = clampToPool(regular, pool, need.regular);
-    return [pool.id, {...note, regular: clamped, cheap: cheapHeld}] as const;
+      : dampCount(cheapBefore, need.cheap, nowEpochMs, options);
+    const clamped = clampToPoolLimits(regular, pool, need.regular);
+    return [pool.id, {...note, regular: clamped, cheap: cheapCount}] as const;
   });
   return Object.fromEntries(entries);
 }
 
 /**
- * What operators ask for is in force at once: the wait is there for demand,
- * which swings, not for a ticket.
+ * Applies limits that operators set at once: the waiting time is meant for
+ * demand, which fluctuates, not for operators' tickets.
  */
-function clampToPool(
-  held: HeldCount,
+function clampToPoolLimits(
+  held: DampedCount,
   pool: PoolNeed['demand']['pool'],
   need: number,
-): HeldCount {
+): DampedCount {
   const least = Math.min(pool.minRegular, need);
   if (held.count < least) return {count: least};
   if (held.count > pool.maxRegular) return {count: pool.maxRegular};
   return held;
 }
 
-/** A new holder of the lease takes what is there for what was planned. */
+/** A new lease holder takes the endpoints present as the planned count. */
 function presentCount(
   {demand}: PoolNeed,
   kind: EndpointKind,
   input: PlanInput,
-): HeldCount | undefined {
+): DampedCount | undefined {
   const count = presentOf(demand.pool, kind, input.endpoints).length;
   return count === 0 ? undefined : {count};
 }
 
 function decideDepartures(
-  {input, memory, begun}: Context,
+  {input, memory, startedDepartures}: Context,
   supply: Supply,
 ): Departure[] {
-  return begun.map(({dataCentre, drainByEpochMs}) => {
+  return startedDepartures.map(({dataCentre, drainByEpochMs}) => {
     if (hasLeft(dataCentre, input.endpoints)) {
       return {dataCentre, phase: 'left' as const};
     }
@@ -244,7 +249,7 @@
   const kinds = ['regular', 'cheap'] as const;
   return pools.flatMap(pool =>
     kinds.map(kind => {
-      // What is lost while the others prepare is replaced there, not here.
+      // Endpoints lost while other data centres prepare are replaced there.
       const present = presentOf(pool, kind, input.endpoints).length;
       const desired = phase === 'preparing' ? present : 0;
       return targetOf(pool, kind, desired, input.endpoints, drainState);
@@ -252,15 +257,16 @@
   );
 }
 
-/** Data centres that drain though what replaces them is not all there. */
-function findLate(
-  {input, begun}: Context,
+/** Data centres that must drain before all their replacements are live. */
+function findLateReplacements(
+  {input, startedDepartures}: Context,
   departures: readonly Departure[],
   supply: Supply,
 ): Shortfall[] {
   const forced = departures.filter(
     ({phase}, index) =>
-      phase === 'draining' && input.nowEpochMs >= begun[index].drainByEpochMs,
+      phase === 'draining' &&
+      input.nowEpochMs >= startedDepartures[index].drainByEpochMs,
   );
   return forced.flatMap(({dataCentre}) =>
     modelsOf(dataCentre, input)
@@ -274,7 +280,7 @@
   );
 }
 
-function endpointsFor(
+function countEndpointsFor(
   model: ModelId,
   concurrency: number,
   {input, options}: Context,
--- a/packages/policy/src/endpoint_plan_demand.ts
+++ b/packages/policy/src/endpoint_plan_demand.ts
@@ -1,4 +1,4 @@
-/** Divides what is asked for over the pools that can serve it. */
+/** Divides demand among the pools that can serve it. */
 
 import type {EndpointPool} from '@snipestage/types/configuration.js';
 import type {DataCentreId, ModelId, RegionId} from '@snipestage/types/ids.js';
@@ -8,30 +8,31 @@
   PlanOptions,
 } from './endpoint_plan_input.js';
 
-/** What one pool is to carry, in requests at once. */
+/** Demand that one pool is to carry, in concurrent requests. */
 export interface PoolDemand {
   readonly pool: EndpointPool;
   readonly region: RegionId | undefined;
-  /** Whether its data centre has a leaving date too. */
+  /** Whether its data centre has a leaving date. */
   readonly isTemporary: boolean;
-  /** Planned for one endpoint of the pool. */
+  /** Concurrent requests planned for one endpoint of the pool. */
   readonly perEndpoint: number;
-  /** Must not depend on cheap endpoints. */
+  /** Demand that must not depend on cheap endpoints. */
   strict: number;
-  /** May run on cheap endpoints. */
+  /** Demand that may run on cheap endpoints. */
   flexible: number;
 }
 
-/** What no pool is left for. */
+/** Demand that no pool can serve. */
 export interface UnservedDemand {
   readonly model: ModelId;
   readonly concurrency: number;
 }
 
 /**
- * Gives each line to its own data centre, or to others when its own is leaving,
- * gone or has no pool: in its region first, then anywhere; and rather to those
- * without a leaving date, so that no work moves twice.
+ * Assigns each line to its own data centre, or to others if its own is leaving,
+ * is unreachable or has no pool that may hold endpoints: in its region first,
+ * then anywhere. Of these it prefers data centres without a leaving date, so
+ * that no work moves twice.
  *
  * @example
  * const {demands, unserved} = divideDemand(input, leaving, options);
@@ -58,8 +59,8 @@
   const unserved: UnservedDemand[] = [];
   for (const line of input.demand) {
     const region = centres.get(line.dataCentre)?.region;
-    const hosts = chooseHosts(demands, line, region);
-    addTo(hosts, line, options);
+    const hosts = choosePools(demands, line, region);
+    addDemand(hosts, line, options);
     if (hosts.length === 0) unserved.push(line);
   }
   return {demands, unserved};
@@ -76,13 +77,13 @@
   return Math.max(concurrency * options.utilisation, Number.EPSILON);
 }
 
-function chooseHosts(
+function choosePools(
   demands: readonly PoolDemand[],
   line: DemandLine,
   region: RegionId | undefined,
 ): PoolDemand[] {
   const able = demands.filter(
-    ({pool}) => pool.model === line.model && roomOf(pool) > 0,
+    ({pool}) => pool.model === line.model && maxEndpointsOf(pool) > 0,
   );
   const own = able.filter(({pool}) => pool.dataCentre === line.dataCentre);
   if (own.length > 0) return own;
@@ -92,20 +93,20 @@
   return lasting.length > 0 ? lasting : hosts;
 }
 
-function addTo(
+function addDemand(
   hosts: readonly PoolDemand[],
   line: DemandLine,
   options: PlanOptions,
 ): void {
   const isStrict = !line.cheapAllowed || line.tier <= options.protectedTier;
-  const room = hosts.reduce((sum, {pool}) => sum + roomOf(pool), 0);
+  const room = hosts.reduce((sum, {pool}) => sum + maxEndpointsOf(pool), 0);
   for (const host of hosts) {
-    const concurrency = (line.concurrency * roomOf(host.pool)) / room;
+    const concurrency = (line.concurrency * maxEndpointsOf(host.pool)) / room;
     if (isStrict) host.strict += concurrency;
     else host.flexible += concurrency;
   }
 }
 
-function roomOf(pool: EndpointPool): number {
+function maxEndpointsOf(pool: EndpointPool): number {
   return pool.maxRegular + pool.maxCheap;
 }
--- a/packages/policy/src/endpoint_plan_departures.test.ts
+++ b/packages/policy/src/endpoint_plan_departures.test.ts
@@ -38,7 +38,7 @@
   };
 }
 
-test('moves with one date are scheduled one after another', t => {
+test('moves with the same date are scheduled one after another', t => {
   t.deepEqual(
     SCHEDULE.map(each => [each.dataCentre as string, each.beginEpochMs]),
     [
@@ -49,9 +49,9 @@
   );
 });
 
-// The first move takes longer than planned. Starting the next all the same
-// would have two data centres half empty at once.
-test('a move waits for the one before it, but not past its own time', t => {
+// The first move takes longer than planned. If the next one started regardless,
+// two data centres would be half empty at once.
+test('a move waits for the previous one, but not past its latest start', t => {
   const begunAt = (nowEpochMs: number, present: readonly DataCentreId[]) =>
     findDepartures(SCHEDULE, present.map(endpointIn), nowEpochMs, OPTIONS).map(
       each => each.dataCentre as string,
--- a/packages/policy/src/endpoint_plan_departures.ts
+++ b/packages/policy/src/endpoint_plan_departures.ts
@@ -1,4 +1,4 @@
-/** When data centres begin to leave, one after another, before their date. */
+/** Schedules data centres to leave one after another, before their dates. */
 
 import type {DataCentreId} from '@snipestage/types/ids.js';
 import type {
@@ -12,14 +12,14 @@
   readonly dataCentre: DataCentreId;
   /** When its replacements are first ordered. */
   readonly beginEpochMs: number;
-  /** When it drains, ready or not, so that it is idle by its date. */
+  /** When it drains even without replacements, so as to be idle by its date. */
   readonly drainByEpochMs: number;
 }
 
 /**
- * Works backwards from the dates, so that each move has its time and those with
- * one date do not move at once: a fault met in the first move then shows while
- * the others still serve.
+ * Works backwards from the leaving dates, so that each move has the time it
+ * needs and data centres with the same date do not move at once: a fault in the
+ * first move then shows while the others still serve.
  *
  * @example
  * scheduleDepartures(dataCentres, DEFAULT_PLAN_OPTIONS);
@@ -52,8 +52,9 @@
 }
 
 /**
- * Those that have begun to leave. One whose time has come waits for the one
- * before it to be gone, but not beyond the time that its own move takes.
+ * Departures that have begun. One whose start time has come waits until the
+ * previous data centre has left, but only as long as the time until its date is
+ * enough for its own move.
  *
  * @example
  * const begun = findDepartures(schedule, endpoints, nowEpochMs, options);
@@ -79,7 +80,7 @@
 }
 
 /**
- * Whether no endpoint is left in the data centre.
+ * Whether the data centre has no endpoints left.
  *
  * @example
  * if (hasLeft(dataCentre, endpoints)) return 'left';
--- a/packages/policy/src/endpoint_plan_drain.ts
+++ b/packages/policy/src/endpoint_plan_drain.ts
@@ -1,4 +1,4 @@
-/** Which endpoints of a pool go when it has more than it needs. */
+/** Drains and releases endpoints of a pool that has more than it needs. */
 
 import type {
   EndpointKind,
@@ -7,7 +7,7 @@
 import type {EndpointId} from '@snipestage/types/ids.js';
 import type {ObservedEndpoint, PoolTarget} from './endpoint_plan_input.js';
 
-/** What is known of endpoints that are drained already. */
+/** Time, and state of the endpoints that are already drained. */
 export interface DrainState {
   readonly nowEpochMs: number;
   readonly settleMs: number;
@@ -15,11 +15,12 @@
 }
 
 /**
- * The target for one kind of a pool's endpoints. Surplus ones first get no new
- * work; the count that is ordered falls only as they become idle, since the
- * platform would otherwise take one that still answers a caller. One that has
- * only just been drained may look idle while another instance, which has not
- * heard of it, sends it a request; so it is given up some time later.
+ * The target for one kind of a pool's endpoints. Surplus endpoints first get no
+ * new work; the ordered count falls only as they become idle, since the
+ * platform would otherwise remove one that still answers a caller. A live
+ * endpoint that has just been drained may look idle while another instance,
+ * which does not know of the drain yet, sends it a request; so it is released
+ * only after `settleMs`.
  *
  * @example
  * const target = targetOf(pool, 'regular', 2, endpoints, state);
@@ -49,12 +50,12 @@
 }
 
 /**
- * Since when each drained endpoint has been, for the next plan.
+ * When each drained endpoint was first drained, for the next plan.
  *
  * @example
- * const drainedSinceEpochMs = noteDrained(targets, state);
+ * const drainedSinceEpochMs = recordDrainStarts(targets, state);
  */
-export function noteDrained(
+export function recordDrainStarts(
   targets: readonly PoolTarget[],
   state: DrainState,
 ): Record<string, number> {
@@ -74,7 +75,7 @@
 }
 
 /**
- * The pool's endpoints of a kind that are not on their way out already.
+ * The pool's endpoints of a kind that are not leaving.
  *
  * @example
  * const have = presentOf(pool, 'cheap', endpoints).length;
@@ -94,7 +95,7 @@
 }
 
 /**
- * Endpoints that get no new work: those that leave by ticket or by the
+ * Endpoints that get no new work: those that are leaving, by ticket or by the
  * platform's list, and those that the plan drains.
  *
  * @example
@@ -109,7 +110,7 @@
   return new Set([...idsOf(leaving), ...drained]);
 }
 
-/** Those drained already, then starting ones, then by what is to finish. */
+/** Already drained ones, then starting ones, then those with least running. */
 function compareForDraining(
   left: ObservedEndpoint,
   right: ObservedEndpoint,
--- a/packages/policy/src/endpoint_plan_input.ts
+++ b/packages/policy/src/endpoint_plan_input.ts
@@ -1,4 +1,4 @@
-/** What the endpoint plan is made from and what it says. */
+/** Input and output of the endpoint plan. */
 
 import type {
   DataCentre,
@@ -7,17 +7,17 @@
 } from '@snipestage/types/configuration.js';
 import type {DataCentreId, EndpointId, ModelId} from '@snipestage/types/ids.js';
 
-/** Work of one class that arrives in one data centre. */
+/** Demand of one class that arrives in one data centre. */
 export interface DemandLine {
   readonly dataCentre: DataCentreId;
   readonly model: ModelId;
   readonly tier: number;
   readonly cheapAllowed: boolean;
-  /** Requests at once, running or waiting: rate times time to serve. */
+  /** Concurrent requests, running or waiting: rate times service time. */
   readonly concurrency: number;
 }
 
-/** An endpoint as the platform lists it, with what it runs. */
+/** An endpoint as the platform lists it, with its requests in flight. */
 export interface ObservedEndpoint {
   readonly id: EndpointId;
   readonly dataCentre: DataCentreId;
@@ -25,11 +25,11 @@
   readonly kind: EndpointKind;
   /** `leaving` by ticket or by the platform, whichever came first. */
   readonly state: 'starting' | 'live' | 'leaving';
-  /** Requests in flight there, the most that any source tells. */
+  /** Requests in flight there; the highest number from any source. */
   readonly running: number;
 }
 
-/** A data centre, and whether the platform can be asked for endpoints there. */
+/** A data centre, and whether endpoints can be ordered there now. */
 export interface PlannedDataCentre extends DataCentre {
   readonly reachable: boolean;
 }
@@ -40,29 +40,36 @@
   readonly utilisation: number;
   /** Tiers up to this one never depend on cheap endpoints. */
   readonly protectedTier: number;
-  /** Most of the cheap-endpoint work that one data centre may hold. */
+  /** Maximum share of the work for cheap endpoints held by one data centre. */
   readonly maxCheapShare: number;
-  /** Cheap ones must cost this much less, for the work that their loss wastes. */
+  /**
+   * The cheap price times this must be below the regular price, to make up for
+   * the work that is wasted when cheap endpoints are lost.
+   */
   readonly cheapPriceFactor: number;
-  /** From ordering an endpoint until it serves. */
+  /** Time from ordering an endpoint until it serves. */
   readonly replaceMs: number;
-  /** From the last new work until idle; above the longest deadline. */
+  /** Time from the last new work until idle; above the longest deadline. */
   readonly drainMs: number;
-  /** From the plan until no instance sends new work; above the load's lag. */
+  /**
+   * Time from the plan until no instance sends new work; above the load lag.
+   */
   readonly settleMs: number;
-  /** Need must have been higher for so long before more are ordered. */
+  /** How long the need must have been higher before more are ordered. */
   readonly scaleUpAfterMs: number;
-  /** Need must have been lower for so long before endpoints are given up. */
+  /** How long the need must have been lower before endpoints are given up. */
   readonly scaleDownAfterMs: number;
-  /** How long cheap endpoints may fail to appear. */
+  /**
+   * How long planned cheap endpoints may be missing before none are ordered.
+   */
   readonly cheapWaitMs: number;
-  /** How long none are asked for after that. */
+  /** How long no more are ordered after that. */
   readonly cheapRetryMs: number;
 }
 
 const MINUTE_MS = 60_000;
 
-/** Used where the input gives no others. */
+/** Defaults of the options that the input leaves out. */
 export const DEFAULT_PLAN_OPTIONS: PlanOptions = {
   utilisation: 0.7,
   protectedTier: 0,
@@ -77,72 +84,79 @@
   cheapRetryMs: 10 * MINUTE_MS,
 };
 
-/** A count that changes only after a while. */
-export interface HeldCount {
+/** A count that changes only after another was needed for some time. */
+export interface DampedCount {
   readonly count: number;
-  /** Another count that has been needed since, at least as far from this one. */
-  readonly other?: {
+  /**
+   * A rise or fall that has been needed since `sinceEpochMs`; `closest` is the
+   * need in that time that was nearest to `count`.
+   */
+  readonly pendingChange?: {
     readonly isRise: boolean;
     readonly sinceEpochMs: number;
     readonly closest: number;
   };
 }
 
-/** What the next plan needs of this one for one pool. */
+/** State of one pool that the next plan needs. */
 export interface PoolMemory {
-  readonly regular?: HeldCount;
-  readonly cheap?: HeldCount;
+  readonly regular?: DampedCount;
+  readonly cheap?: DampedCount;
   readonly cheapShortSinceEpochMs?: number;
+  /** Until when cheap endpoints count as unavailable. */
   readonly cheapAwayUntilEpochMs?: number;
 }
 
-/** What the next plan needs of this one. A lost one costs hysteresis only. */
+/**
+ * State that the next plan needs. Without it, hysteresis and the settle times
+ * start anew, and which data centres drain is decided anew.
+ */
 export interface PlanMemory {
   readonly pools: Readonly<Record<string, PoolMemory>>;
-  /** Data centres that have begun to drain; they don't turn back. */
+  /** Data centres that have begun to drain; they don't stop draining. */
   readonly draining: readonly DataCentreId[];
-  /** Since when endpoints have been drained by the plan. */
+  /** When the plan first drained each endpoint that it still drains. */
   readonly drainedSinceEpochMs: Readonly<Record<string, number>>;
 }
 
-/** Before the first plan. */
+/** The memory before the first plan. */
 export const EMPTY_PLAN_MEMORY: PlanMemory = {
   pools: {},
   draining: [],
   drainedSinceEpochMs: {},
 };
 
-/** All that a plan is made from. */
+/** Input of `planEndpoints`. */
 export interface PlanInput {
   readonly nowEpochMs: number;
   readonly dataCentres: readonly PlannedDataCentre[];
   readonly pools: readonly EndpointPool[];
-  /** Fresh measurements; the last known ones of a data centre that is gone. */
+  /** Fresh measurements; the last known ones for a data centre that is lost. */
   readonly demand: readonly DemandLine[];
   readonly endpoints: readonly ObservedEndpoint[];
   /**
-   * Requests at once that an endpoint of the pool carries within the latency
-   * targets, as learned; the pool's own figure where none has been.
+   * Concurrent requests that an endpoint carries within the latency targets, as
+   * learned, by pool id; `maxConcurrencyPerEndpoint` of the pool if absent.
    */
   readonly concurrencyWithinTargets?: ReadonlyMap<string, number>;
   readonly memory?: PlanMemory;
   readonly options?: Partial<PlanOptions>;
 }
 
-/** How many endpoints of one kind a pool shall have. */
+/** Target number of endpoints of one kind in a pool. */
 export interface PoolTarget {
   readonly dataCentre: DataCentreId;
   readonly model: ModelId;
   readonly kind: EndpointKind;
-  /** What to order; counts draining ones that still run something. */
+  /** Number to order; counts drained ones that are not released yet. */
   readonly targetCount: number;
-  /** Get no new work from now on. */
+  /** Endpoints that get no new work from now on. */
   readonly drain: readonly EndpointId[];
-  /** Those of them that are idle for good, to be given up first. */
+  /** Drained endpoints that will stay idle, to be given up first. */
   readonly release: readonly EndpointId[];
 }
 
-/** Something the plan can't give, for operators to see in good time. */
+/** Something that the plan can't provide, reported to operators in time. */
 export interface Shortfall {
   readonly model: ModelId;
   readonly reason: 'pool_limit' | 'no_data_centre' | 'not_ready_in_time';
@@ -152,19 +166,20 @@
 }
 
 /**
- * - `preparing`: others are getting ready to take its work.
- * - `draining`: they are ready; it gets no new work.
- * - `left`: it has no endpoint any more.
+ * - `preparing`: other data centres are getting ready to take its work.
+ * - `draining`: they are ready, or its date allows no further wait; it gets no
+ *   new work.
+ * - `left`: it has no endpoints any more.
  */
 export type DeparturePhase = 'preparing' | 'draining' | 'left';
 
-/** A data centre on its way out. */
+/** A data centre that is leaving. */
 export interface Departure {
   readonly dataCentre: DataCentreId;
   readonly phase: DeparturePhase;
 }
 
-/** What to order and what to tell operators. */
+/** Targets to order, reports to operators, and memory for the next plan. */
 export interface EndpointPlan {
   readonly targets: readonly PoolTarget[];
   readonly shortfalls: readonly Shortfall[];
--- a/packages/policy/src/endpoint_plan_memory.ts
+++ b/packages/policy/src/endpoint_plan_memory.ts
@@ -1,71 +1,77 @@
-/** Keeps counts from swinging, and remembers where cheap ones are not to be had. */
+/**
+ * Damps changes of counts, and tracks where cheap endpoints are unavailable.
+ */
 
 import type {
-  HeldCount,
+  DampedCount,
   PlanOptions,
   PoolMemory,
 } from './endpoint_plan_input.js';
 
 /**
- * Rises soon and falls late. Demand is measured in moments: a peak of a few
- * seconds would be paid for as long as a count is held, so it rises only to what
- * has been needed throughout a short wait. And loading a model takes minutes,
- * so endpoints given up in a lull are missed in the next burst; it falls to the
- * most that was needed throughout a long wait.
+ * Applies hysteresis to a count: it rises soon and falls late. Demand is
+ * measured at single moments, and a peak of a few seconds would be paid for as
+ * long as the count is kept; so the count rises only to what was needed
+ * throughout a short wait. Loading a model takes minutes, so endpoints given up
+ * in a lull are missed in the next burst; so the count falls only to the most
+ * that was needed at any time during a long wait.
  *
- * @param mayFall false while what is to take over is not there yet.
+ * @param mayFall false while the endpoints that take over are not live yet.
  * @example
- * const held = holdCount(memory.regular, need, nowEpochMs, options);
+ * const held = dampCount(memory.regular, need, nowEpochMs, options);
  */
-export function holdCount(
-  previous: HeldCount | undefined,
+export function dampCount(
+  previous: DampedCount | undefined,
   need: number,
   nowEpochMs: number,
   options: PlanOptions,
   mayFall = true,
-): HeldCount {
+): DampedCount {
   if (previous === undefined) return {count: need};
   const {count} = previous;
   if (need === count || (need < count && !mayFall)) return {count};
   const isRise = need > count;
-  const other = previous.other?.isRise === isRise ? previous.other : undefined;
-  const sinceEpochMs = other?.sinceEpochMs ?? nowEpochMs;
+  const pendingChange =
+    previous.pendingChange?.isRise === isRise
+      ? previous.pendingChange
+      : undefined;
+  const sinceEpochMs = pendingChange?.sinceEpochMs ?? nowEpochMs;
   const closest = isRise
-    ? Math.min(other?.closest ?? need, need)
-    : Math.max(other?.closest ?? need, need);
+    ? Math.min(pendingChange?.closest ?? need, need)
+    : Math.max(pendingChange?.closest ?? need, need);
   const waitMs = isRise ? options.scaleUpAfterMs : options.scaleDownAfterMs;
   if (nowEpochMs - sinceEpochMs >= waitMs) return {count: closest};
-  return {count, other: {isRise, sinceEpochMs, closest}};
+  return {count, pendingChange: {isRise, sinceEpochMs, closest}};
 }
 
-/** What is remembered of a pool's cheap endpoints. */
-type CheapMemory = Pick<
+/** Whether a pool's cheap endpoints are missing or unavailable. */
+type CheapAvailability = Pick<
   PoolMemory,
   'cheapShortSinceEpochMs' | 'cheapAwayUntilEpochMs'
 >;
 
 /**
- * Notes whether cheap endpoints that were asked for failed to appear for so
- * long that none are to be had; after a while they are asked for again.
+ * Takes cheap endpoints as unavailable when planned ones have been missing for
+ * `cheapWaitMs`; after `cheapRetryMs` they are ordered again.
  *
- * @param have cheap endpoints that start or are live.
+ * @param have number of cheap endpoints that are starting or live.
  * @example
- * const note = noteCheap(memory, have, nowEpochMs, options);
+ * const note = trackCheapAvailability(memory, have, nowEpochMs, options);
  */
-export function noteCheap(
+export function trackCheapAvailability(
   memory: PoolMemory,
   have: number,
   nowEpochMs: number,
   options: PlanOptions,
-): CheapMemory {
-  const awayUntil = memory.cheapAwayUntilEpochMs;
-  if (awayUntil !== undefined && nowEpochMs < awayUntil) {
-    return {cheapAwayUntilEpochMs: awayUntil};
+): CheapAvailability {
+  const unavailableUntil = memory.cheapAwayUntilEpochMs;
+  if (unavailableUntil !== undefined && nowEpochMs < unavailableUntil) {
+    return {cheapAwayUntilEpochMs: unavailableUntil};
   }
-  const asked = memory.cheap?.count ?? 0;
-  if (have >= asked) return {};
+  const planned = memory.cheap?.count ?? 0;
+  if (have >= planned) return {};
   const shortSince =
-    awayUntil === undefined
+    unavailableUntil === undefined
       ? (memory.cheapShortSinceEpochMs ?? nowEpochMs)
       : nowEpochMs;
   if (nowEpochMs - shortSince < options.cheapWaitMs) {
--- a/packages/policy/src/endpoint_plan_readiness.ts
+++ b/packages/policy/src/endpoint_plan_readiness.ts
@@ -1,4 +1,4 @@
-/** Whether what the plan needs is there, not just ordered. */
+/** Whether the endpoints that the plan needs are live, not just ordered. */
 
 import type {EndpointKind} from '@snipestage/types/configuration.js';
 import type {DataCentreId, ModelId} from '@snipestage/types/ids.js';
@@ -7,7 +7,7 @@
 import type {PoolNeed, Supply} from './endpoint_plan_supply.js';
 
 /**
- * Whether the model's cheap endpoints are live, all that are needed.
+ * Whether as many of the model's cheap endpoints are live as are needed.
  *
  * @example
  * if (!isCheapLive(supply, model, input)) keepRegularOnes();
@@ -50,7 +50,8 @@
 }
 
 /**
- * Whether every pool that stays has all it needs live.
+ * Whether every remaining pool of the model has all the endpoints it needs
+ * live; false if there is no such pool or the model has a shortfall.
  *
  * @example
  * if (isReplaced(model, supply, input)) drain(dataCentre);
@@ -73,7 +74,7 @@
 }
 
 /**
- * Endpoints that are needed and not live, over all pools of the model.
+ * Number of endpoints needed but not live, summed over the model's pools.
  *
  * @example
  * const missing = countMissing(model, supply, input);
--- a/packages/policy/src/endpoint_plan_supply.ts
+++ b/packages/policy/src/endpoint_plan_supply.ts
@@ -1,34 +1,34 @@
-/** How many endpoints of each kind carry a demand. */
+/** Computes how many endpoints of each kind carry a demand. */
 
 import type {ModelId, RegionId} from '@snipestage/types/ids.js';
 import type {PoolDemand} from './endpoint_plan_demand.js';
 import type {PlanOptions, Shortfall} from './endpoint_plan_input.js';
 
 /** Absorbs rounding, so that 2.0000001 endpoints are 2. */
-const ROUNDING = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 
-/** What one pool needs. */
+/** Endpoints that one pool needs. */
 export interface PoolNeed {
   readonly demand: PoolDemand;
   regular: number;
   cheap: number;
-  /** Requests at once that its regular ones are to carry. */
+  /** Concurrent requests that its regular endpoints are to carry. */
   regularLoad: number;
-  /** Most cheap ones that can be had there now. */
+  /** Maximum number of cheap endpoints that can be planned there now. */
   readonly cheapLimit: number;
 }
 
-/** Needs and what could not be placed. */
+/** Needs of the pools, and demand that could not be placed. */
 export interface Supply {
   readonly needs: readonly PoolNeed[];
   readonly shortfalls: readonly Shortfall[];
 }
 
 /**
- * Cheap endpoints for the work that may run there, spread over data centres so
- * that one data centre's loss takes a bounded share; regular ones for all else.
- * Regular ones alone carry the strict work: if every cheap endpoint vanishes at
- * once, the top tiers don't notice.
+ * Plans cheap endpoints for the work that may run on them, spread over data
+ * centres so that the loss of one costs a bounded share, and regular endpoints
+ * for all other work. Regular endpoints alone carry the strict work: the loss
+ * of all cheap endpoints at once does not affect the top tiers.
  *
  * @example
  * const {needs, shortfalls} = planSupply(demands, cheapLimitOf, options);
@@ -43,7 +43,7 @@
     regular: 0,
     cheap: 0,
     regularLoad: 0,
-    cheapLimit: isWorthIt(demand, options) ? cheapLimitOf(demand) : 0,
+    cheapLimit: isCheapWorthwhile(demand, options) ? cheapLimitOf(demand) : 0,
   }));
   const shortfalls: Shortfall[] = [];
   for (const group of groupByModelAndRegion(needs)) {
@@ -58,7 +58,7 @@
   return {needs, shortfalls};
 }
 
-function isWorthIt({pool}: PoolDemand, options: PlanOptions): boolean {
+function isCheapWorthwhile({pool}: PoolDemand, options: PlanOptions): boolean {
   const {cheapPricePerHour, regularPricePerHour} = pool;
   return cheapPricePerHour * options.cheapPriceFactor < regularPricePerHour;
 }
@@ -75,15 +75,15 @@
 }
 
 /**
- * Adds cheap endpoints one by one where there are fewest.
+ * Adds cheap endpoints one by one, each to the pool that has fewest.
  *
- * @returns the share of the flexible work that is left for regular ones.
+ * @returns the share of the flexible work that is left for regular endpoints.
  */
 function spreadCheap(group: readonly PoolNeed[], options: PlanOptions): number {
   const total = sum(group, need => need.demand.flexible);
   const mostPerPool = total * options.maxCheapShare;
   let uncovered = total;
-  while (uncovered > ROUNDING) {
+  while (uncovered > ROUNDING_TOLERANCE) {
     const open = group.filter(need => hasRoomForCheap(need, mostPerPool));
     if (open.length === 0) break;
     const next = open.reduce((best, need) =>
@@ -95,11 +95,13 @@
   return total > 0 ? Math.max(0, uncovered) / total : 0;
 }
 
-/** The first is always allowed: regular endpoints take over if it goes. */
+/**
+ * The first is always within the share: regular ones take over if it is lost.
+ */
 function hasRoomForCheap(need: PoolNeed, mostPerPool: number): boolean {
   if (need.cheap >= need.cheapLimit) return false;
   const after = (need.cheap + 1) * need.demand.perEndpoint;
-  return need.cheap === 0 || after <= mostPerPool + ROUNDING;
+  return need.cheap === 0 || after <= mostPerPool + ROUNDING_TOLERANCE;
 }
 
 function comesBefore(left: PoolNeed, right: PoolNeed): boolean {
@@ -115,25 +117,27 @@
   for (const need of group) {
     const {strict, flexible, perEndpoint, pool} = need.demand;
     need.regularLoad = strict + flexible * uncovered;
-    const needed = Math.ceil(need.regularLoad / perEndpoint - ROUNDING);
+    const needed = Math.ceil(
+      need.regularLoad / perEndpoint - ROUNDING_TOLERANCE,
+    );
     need.regular = Math.max(pool.minRegular, needed);
   }
 }
 
 /**
- * Moves what a pool may not hold to endpoints that others have to spare, then
- * to new ones where there is most room.
+ * Moves load beyond a pool's limit to spare regular endpoints of other pools,
+ * then to new ones in the pools with most room.
  *
- * @returns endpoints for which there is no room anywhere.
+ * @returns the number of endpoints for which no pool has room.
  */
 function moveOverflow(group: readonly PoolNeed[]): number {
-  let overflow = sum(group, cutToLimit);
+  let overflow = sum(group, cutToPoolLimit);
   for (const need of group) {
     const moved = Math.min(overflow, spareOf(need));
     need.regularLoad += moved;
     overflow -= moved;
   }
-  while (overflow > ROUNDING) {
+  while (overflow > ROUNDING_TOLERANCE) {
     const roomiest = group.reduce((best, need) =>
       roomFor(need) > roomFor(best) ? need : best,
     );
@@ -143,13 +147,13 @@
     roomiest.regularLoad += moved;
     overflow -= moved;
   }
-  if (overflow <= ROUNDING) return 0;
+  if (overflow <= ROUNDING_TOLERANCE) return 0;
   const largest = Math.max(...group.map(need => need.demand.perEndpoint));
-  return Math.ceil(overflow / largest - ROUNDING);
+  return Math.ceil(overflow / largest - ROUNDING_TOLERANCE);
 }
 
-/** @returns the load beyond what the pool may hold. */
-function cutToLimit(need: PoolNeed): number {
+/** @returns the load cut off beyond the pool's limit. */
+function cutToPoolLimit(need: PoolNeed): number {
   const {pool, perEndpoint} = need.demand;
   const surplus = Math.max(0, need.regularLoad - pool.maxRegular * perEndpoint);
   need.regular = Math.min(need.regular, pool.maxRegular);
--- a/packages/policy/src/hedging.test.ts
+++ b/packages/policy/src/hedging.test.ts
@@ -3,7 +3,7 @@
   DEFAULT_HEDGE_BUDGET,
   decideHedge,
   planHedge,
-  type HedgeQuestion,
+  type HedgePlanInput,
 } from './hedging.js';
 import {LatencyWindow} from './latency_window.js';
 import {TokenBucket} from './token_bucket.js';
@@ -14,32 +14,40 @@
   return window;
 }
 
-/** First tokens of 1 to 100 ms. */
+/** First-token times of 1 to 100 ms. */
 const MEASURED = windowOf(
   ...Array.from({length: 100}, (_, index) => index + 1),
 );
 
-const TABLE: ReadonlyArray<[string, Partial<HedgeQuestion>, object]> = [
-  ['after the quantile', {}, {kind: 'wait', delayMs: 143}],
-  ['never a booking', {idempotent: false}, {reason: 'not_repeatable'}],
-  ['never a suspect', {suspect: true}, {reason: 'suspect'}],
-  ['not unmeasured', {firstTokens: windowOf(5, 5)}, {reason: 'unmeasured'}],
-  ['not too late', {remainingMs: 200}, {reason: 'deadline'}],
+const TABLE: ReadonlyArray<[string, Partial<HedgePlanInput>, object]> = [
+  ['waits 1.5 times the quantile', {}, {kind: 'wait', delayMs: 143}],
+  [
+    'never without idempotency',
+    {idempotent: false},
+    {reason: 'not_repeatable'},
+  ],
+  ['never for a suspect', {suspect: true}, {reason: 'suspect'}],
+  [
+    'not with too few measurements',
+    {firstTokens: windowOf(5, 5)},
+    {reason: 'unmeasured'},
+  ],
+  ['not too close to the deadline', {remainingMs: 200}, {reason: 'deadline'}],
 ];
 
 for (const [title, changes, expected] of TABLE) {
   test(`hedge: ${title}`, t => {
-    const question = {
+    const input = {
       idempotent: true,
       suspect: false,
       remainingMs: 10_000,
       firstTokens: MEASURED,
     };
-    t.like(planHedge({...question, ...changes}), expected);
+    t.like(planHedge({...input, ...changes}), expected);
   });
 }
 
-test('the quantile follows what was measured last', t => {
+test('the quantile covers the latest measurements only', t => {
   const window = new LatencyWindow(32);
   for (let count = 0; count < 32; count++) window.add(10);
   t.is(window.quantile(0.95), 10);
@@ -49,8 +57,8 @@
 });
 
 // All engines are slow at once. Hedging each request would double the load just
-// then, and callers would wait longer still.
-test('hedges stay few and end where others wait', t => {
+// then and delay callers further.
+test('hedges stay within the budget and stop while requests wait', t => {
   const budget = new TokenBucket(DEFAULT_HEDGE_BUDGET);
   const moment = {firstTokenSeen: false, waitingInCell: 0, budget, nowMs: 0};
   t.like(decideHedge({...moment, firstTokenSeen: true}), {reason: 'answered'});
--- a/packages/policy/src/hedging.ts
+++ b/packages/policy/src/hedging.ts
@@ -1,20 +1,20 @@
 /**
- * A second attempt against the silence of the first (Dean and Barroso, "The
+ * Hedging: a second attempt when the first stays silent (Dean and Barroso, "The
  * Tail at Scale", 2013). An endpoint that hangs, or a connection that has gone
- * silent, is noticed only by the token that doesn't come; waiting for the time
- * limit would cost the caller its deadline. Whoever answers first wins, the
- * other is cancelled.
+ * silent, shows only by the missing token; waiting for the timeout would cost
+ * the caller its deadline. The first attempt to answer wins, the other is
+ * cancelled.
  */
 
 import type {LatencyWindow} from './latency_window.js';
 import type {TokenBucket, TokenBucketOptions} from './token_bucket.js';
 
-/** What is known of a request whose attempt has gone out. */
-export interface HedgeQuestion {
+/** Input of {@link planHedge}: a request whose attempt is being sent. */
+export interface HedgePlanInput {
   readonly idempotent: boolean;
-  /** It was in flight where an endpoint crashed. */
+  /** It was in flight at an endpoint that crashed. */
   readonly suspect: boolean;
-  /** Until its deadline. */
+  /** Time until its deadline. */
   readonly remainingMs: number;
   /** First-token times of its model and class. */
   readonly firstTokens: LatencyWindow;
@@ -23,24 +23,24 @@
 
 /** Limits with their defaults in {@link DEFAULT_HEDGE_LIMITS}. */
 export interface HedgeLimits {
-  /** Silence longer than this quantile is worth a second attempt. */
+  /** Quantile of the first-token times that the hedge's delay is based on. */
   readonly quantile: number;
-  /** The threshold is this much above the quantile. */
+  /** The delay is the quantile times this. */
   readonly factor: number;
-  /** Fewer measurements tell no quantile. */
-  readonly leastSamples: number;
-  readonly leastDelayMs: number;
+  /** Measurements below which the quantile is not used. */
+  readonly minSamples: number;
+  readonly minDelayMs: number;
 }
 
-/** Half as long again as the slowest twentieth. */
+/** One and a half times the 95th percentile. */
 export const DEFAULT_HEDGE_LIMITS: HedgeLimits = {
   quantile: 0.95,
   factor: 1.5,
-  leastSamples: 20,
-  leastDelayMs: 50,
+  minSamples: 20,
+  minDelayMs: 50,
 };
 
-/** When to look again, or why there will be no hedge. */
+/** When to decide on the hedge, or why there will be none. */
 export type HedgePlan =
   | {readonly kind: 'wait'; readonly delayMs: number}
   | {
@@ -55,32 +55,32 @@
  * const plan = planHedge({idempotent, suspect, remainingMs, firstTokens});
  * if (plan.kind === 'wait') startTimer(plan.delayMs);
  */
-export function planHedge(question: HedgeQuestion): HedgePlan {
-  const limits = {...DEFAULT_HEDGE_LIMITS, ...question.limits};
-  const {firstTokens, remainingMs} = question;
-  // A booking would run twice.
-  if (!question.idempotent) return {kind: 'never', reason: 'not_repeatable'};
-  // It might take a second endpoint down while the first is still dying.
-  if (question.suspect) return {kind: 'never', reason: 'suspect'};
+export function planHedge(input: HedgePlanInput): HedgePlan {
+  const limits = {...DEFAULT_HEDGE_LIMITS, ...input.limits};
+  const {firstTokens, remainingMs} = input;
+  // A request that is not idempotent, such as a booking, would run twice.
+  if (!input.idempotent) return {kind: 'never', reason: 'not_repeatable'};
+  // It might crash a second endpoint while the first is still crashing.
+  if (input.suspect) return {kind: 'never', reason: 'suspect'};
   const quantileMs = firstTokens.quantile(limits.quantile);
-  if (quantileMs === undefined || firstTokens.count < limits.leastSamples) {
+  if (quantileMs === undefined || firstTokens.count < limits.minSamples) {
     return {kind: 'never', reason: 'unmeasured'};
   }
   const delayMs = Math.max(
-    limits.leastDelayMs,
+    limits.minDelayMs,
     Math.ceil(quantileMs * limits.factor),
   );
-  // What usually takes the quantile can't come in time any more.
+  // A first token that takes as long as the quantile would come too late.
   if (delayMs + quantileMs > remainingMs) {
     return {kind: 'never', reason: 'deadline'};
   }
   return {kind: 'wait', delayMs};
 }
 
-/** What is known when the planned delay has passed. */
-export interface HedgeMoment {
+/** Input of {@link decideHedge}, when the planned delay has passed. */
+export interface HedgeDecisionInput {
   readonly firstTokenSeen: boolean;
-  /** Requests that wait in the cell the hedge would go to. */
+  /** Requests waiting in the cell to which the hedge would go. */
   readonly waitingInCell: number;
   readonly budget: TokenBucket;
   readonly nowMs: number;
@@ -94,23 +94,24 @@
       readonly reason: 'answered' | 'busy' | 'budget_spent';
     };
 
-/** One request in twenty, since each may be wasted work. */
+/** One request in twenty, since each hedge may be wasted work. */
 export const DEFAULT_HEDGE_BUDGET: TokenBucketOptions = {
   share: 0.05,
-  floorPerSecond: 0.1,
+  refillPerSecond: 0.1,
   capacity: 5,
 };
 
 /**
- * Decides on the hedge when its delay has passed, and pays for it. While others
- * wait there is none: silence then comes from load, and a second attempt would
- * take an endpoint's place from a request that has none.
+ * Decides on the hedge when its delay has passed, and charges it to the budget.
+ * There is none while other requests wait: the silence then comes from load,
+ * and a second attempt would take a place at an endpoint from a request that
+ * has none.
  *
  * @example
- * if (decideHedge(moment).kind === 'hedge') startSecondAttempt();
+ * if (decideHedge(input).kind === 'hedge') startSecondAttempt();
  */
-export function decideHedge(moment: HedgeMoment): HedgeDecision {
-  const {firstTokenSeen, waitingInCell, budget, nowMs} = moment;
+export function decideHedge(input: HedgeDecisionInput): HedgeDecision {
+  const {firstTokenSeen, waitingInCell, budget, nowMs} = input;
   if (firstTokenSeen) return {kind: 'stay', reason: 'answered'};
   if (waitingInCell > 0) return {kind: 'stay', reason: 'busy'};
   if (!budget.spend(nowMs)) return {kind: 'stay', reason: 'budget_spent'};
--- a/packages/policy/src/latency_window.ts
+++ b/packages/policy/src/latency_window.ts
@@ -1,17 +1,17 @@
-/** Quantiles over the latest measurements. */
+/** Quantiles over the most recent measurements. */
 
-const DEFAULT_SIZE = 256;
-/** Sorting for each question would cost more than the answer is worth. */
-const SORT_EVERY = 16;
+const DEFAULT_SAMPLE_COUNT = 256;
+/** Sorting for each query would cost more than an exact answer is worth. */
+const SORT_INTERVAL_SAMPLE_COUNT = 16;
 
-/** Keeps a bounded number of measurements, the oldest go first. */
+/** Keeps a bounded number of measurements and drops the oldest first. */
 export class LatencyWindow {
   private readonly samples: number[] = [];
   private sorted: readonly number[] = [];
   private next = 0;
-  private sinceSorted = 0;
+  private addedSinceSort = 0;
 
-  constructor(private readonly size = DEFAULT_SIZE) {}
+  constructor(private readonly size = DEFAULT_SAMPLE_COUNT) {}
 
   get count(): number {
     return this.samples.length;
@@ -20,20 +20,23 @@
   add(valueMs: number): void {
     this.samples[this.next] = valueMs;
     this.next = (this.next + 1) % this.size;
-    this.sinceSorted += 1;
+    this.addedSinceSort += 1;
   }
 
   /**
-   * The value that this share of the measurements does not exceed, at most a
-   * few measurements old; `undefined` without any.
+   * The value that this share of the measurements does not exceed; the latest
+   * few may not be counted yet. `undefined` without measurements.
    *
    * @example
    * window.quantile(0.95);
    */
   quantile(share: number): number | undefined {
-    if (this.sinceSorted >= SORT_EVERY || this.sorted.length === 0) {
+    if (
+      this.addedSinceSort >= SORT_INTERVAL_SAMPLE_COUNT ||
+      this.sorted.length === 0
+    ) {
       this.sorted = [...this.samples].sort((left, right) => left - right);
-      this.sinceSorted = 0;
+      this.addedSinceSort = 0;
     }
     const index = Math.ceil(share * this.sorted.length) - 1;
     return this.sorted[Math.max(0, index)];
--- a/packages/policy/src/limit_policy.ts
+++ b/packages/policy/src/limit_policy.ts
@@ -1,8 +1,8 @@
-/** How many requests one endpoint may run at once. */
+/** Limits how many requests one endpoint may run at once. */
 
 import type {AttemptOutcome} from '@snipestage/types/permits.js';
 
-/** What the tightest class served at an endpoint asks for. */
+/** Latency targets of a request class. */
 export interface LatencyTargets {
   readonly firstTokenTargetMs: number;
   readonly betweenTokensTargetMs: number;
@@ -17,38 +17,38 @@
   readonly targets?: LatencyTargets;
 }
 
-/** What an endpoint's limit is looked over with from time to time. */
+/** Measurements for the periodic review of an endpoint's limit. */
 export interface LimitReview {
   /** Requests that run at the endpoint. */
   readonly inFlight: number;
-  /** Typical of the cell's endpoints; absent while nothing was measured. */
+  /** Typical of the cell's endpoints; absent without measurements. */
   readonly typicalBetweenTokensMs?: number;
 }
 
 /**
- * - `healthy`: gets as much as its limit.
- * - `slow`: slower than the others and past its target; one request at a time.
- * - `stalled`: what runs there produces nothing; no new work.
+ * - `healthy`: gets work up to its limit.
+ * - `slow`: slower than the others and over its target; one request at a time.
+ * - `stalled`: its running requests produce nothing; no new work.
  * - `failed`: crashed or failing; no work until the next probe is due.
- * - `probing`: one request tells whether it has recovered.
+ * - `probing`: one request shows whether it has recovered.
  */
 export type EndpointCondition =
   'healthy' | 'slow' | 'stalled' | 'failed' | 'probing';
 
-/** A limit, and why it is so, for the state dump. */
+/** A limit and the reason for it, for the state dump. */
 export interface LimitSnapshot {
   readonly permits: number;
   readonly health: EndpointCondition;
   readonly betweenTokensMs?: number;
 }
 
-/** What a {@link LimitPolicy} is made from. */
+/** Options of a {@link LimitPolicy}. */
 export interface LimitPolicyOptions {
-  /** Never more at once than this. */
+  /** Upper bound of the limit. */
   readonly maxConcurrency: number;
 }
 
-/** The limit of one endpoint; how it is found is the policy. */
+/** The limit of one endpoint; subclasses decide how it is found. */
 export abstract class LimitPolicy {
   protected maxConcurrency: number;
 
@@ -56,44 +56,44 @@
     this.maxConcurrency = options.maxConcurrency;
   }
 
-  /** Permits at once at this moment; 0 while it gets no work. */
+  /** Current number of permits; 0 while the endpoint gets no work. */
   abstract permits(nowMs: number): number;
 
-  /** When it may get work again; `nowMs` while it does, else maybe never. */
+  /** Earliest time at which it may get work; `nowMs` or later, maybe never. */
   abstract usableAtMs(nowMs: number): number;
 
-  /** Whether the next request there may well fail or be slow. */
+  /** Whether the next request there is a probe that may fail or be slow. */
   abstract isProbing(nowMs: number): boolean;
 
-  /** The endpoint runs this many now, one more than before. */
+  /** A request has started; the endpoint now runs `inFlight`. */
   abstract started(inFlight: number, nowMs: number): void;
 
   /** An attempt has ended there. */
   abstract finished(sample: LimitSample, nowMs: number): void;
 
-  /** Time between tokens of an attempt that still runs. */
+  /** Records the time between tokens of an attempt that still runs. */
   abstract progressed(
     betweenTokensMs: number,
     targets: LatencyTargets | undefined,
     nowMs: number,
   ): void;
 
-  /** Called a few times a second. */
+  /** Reviews the limit; called a few times a second. */
   abstract review(review: LimitReview, nowMs: number): void;
 
-  /** A new owner begins with this many in flight there, and knows no more. */
+  /** Called by a new owner, which knows only how many are in flight there. */
   abstract takeOver(inFlight: number): void;
 
   abstract snapshot(nowMs: number): LimitSnapshot;
 
-  /** The endpoint is configured anew. */
+  /** Applies a changed configuration of the endpoint. */
   reconfigure(maxConcurrency: number): void {
     this.maxConcurrency = maxConcurrency;
   }
 }
 
 /**
- * Always as many as the endpoint is built for.
+ * A constant limit: the configured maximum concurrency of the endpoint.
  *
  * @example
  * new FixedLimit({maxConcurrency: 8}).permits(); // 8
--- a/packages/policy/src/measure_cell.ts
+++ b/packages/policy/src/measure_cell.ts
@@ -1,7 +1,7 @@
 /**
- * Measures the policies of one cell under a simulated clock, and prints a table:
- * `node packages/policy/dist/measure_cell.js [scenario] [--seeds N]`. It shows
- * what the decisions do; it says nothing of processes, wires or real engines.
+ * Measures the policies of one cell under a simulated clock, and prints a
+ * table: `node packages/policy/dist/measure_cell.js [scenario] [--seeds N]`. It
+ * covers the decisions only, not processes, networks or real engines.
  */
 
 import {createPolicySet, type PolicyName} from './policy_set.js';
@@ -27,7 +27,7 @@
   makeEndpoint(id, {maxConcurrency: 32}),
 );
 
-/** One run of a scenario under a policy. */
+/** Runs a scenario once under a policy. */
 function measureOnce(
   scenario: Scenario,
   policy: PolicyName,
--- a/packages/policy/src/policy_set.ts
+++ b/packages/policy/src/policy_set.ts
@@ -13,10 +13,12 @@
 import {TieredChoice} from './tiered_choice.js';
 import {TieredQueue} from './tiered_queue.js';
 
-/** `tiered` is the product; the others are baselines for comparison. */
+/**
+ * `tiered` is the product's policy; the others are baselines for comparison.
+ */
 export type PolicyName = 'tiered' | 'round_robin' | 'least_in_flight';
 
-/** All that varies between policies, made for one cell. */
+/** The queue, endpoint choice and limits of one cell under a policy. */
 export interface PolicySet {
   readonly name: PolicyName;
   readonly queue: DispatchQueue;
@@ -25,7 +27,8 @@
 }
 
 /**
- * The policies of one cell; they keep state, so that each cell has its own.
+ * Creates the policies of one cell. They keep state, so each cell needs its
+ * own.
  *
  * @example
  * const policy = createPolicySet('tiered');
--- a/packages/policy/src/random_source.ts
+++ b/packages/policy/src/random_source.ts
@@ -1,13 +1,13 @@
-/** Random numbers that a caller passes in, so that decisions can be replayed. */
+/** Random numbers passed in by callers, so that decisions can be replayed. */
 
-/** Gives the next number, at least 0 and below 1. */
+/** Returns the next number, at least 0 and below 1. */
 export type RandomSource = () => number;
 
 const STEP = 0x6d2b79f5;
 const RANGE = 2 ** 32;
 
 /**
- * A seeded source (mulberry32) for tests, models and measurements.
+ * A seeded source (mulberry32) for tests, simulations and measurements.
  *
  * @example
  * const random = createSeededRandom(7);
--- a/packages/policy/src/rendezvous.ts
+++ b/packages/policy/src/rendezvous.ts
@@ -1,15 +1,15 @@
 /**
  * Rendezvous hashing (highest random weight, Thaler and Ravishankar 1998): each
- * key ranks all candidates by a hash of both. When a candidate goes, only the
- * keys that it had move, and they spread over all the others.
+ * key ranks all candidates by a hash of both. When a candidate is removed, only
+ * its own keys move, and they spread over all the others.
  */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
 /**
- * A 32-bit hash: FNV-1a with the final mix of MurmurHash3, for FNV alone leaves
- * the high bits of short ids alike.
+ * A 32-bit hash: FNV-1a with the final mix of MurmurHash3, because FNV alone
+ * leaves the high bits of short ids similar.
  *
  * @example
  * hashText('akl-a-repair-1'); // the same on every instance
@@ -27,7 +27,7 @@
 }
 
 /**
- * All candidates, the highest weight for the key first.
+ * All candidates, ordered by descending weight for the key.
  *
  * @example
  * rankByRendezvous('cell-1', ['akl-a-1', 'akl-a-2'])[0]; // the owner
--- a/packages/policy/src/retry_budget.test.ts
+++ b/packages/policy/src/retry_budget.test.ts
@@ -9,13 +9,13 @@
   DEFAULT_RETRY_BUDGET,
   mayRetry,
   type FailureCause,
-  type RetryQuestion,
+  type RetryInput,
 } from './retry_budget.js';
 import {TokenBucket} from './token_bucket.js';
 
 const SEED = 20_261_202;
 
-function question(changes: Partial<RetryQuestion>): RetryQuestion {
+function retryInput(changes: Partial<RetryInput>): RetryInput {
   return {
     verdict: 'may_have_run',
     idempotent: true,
@@ -29,65 +29,74 @@
   };
 }
 
-const TABLE: ReadonlyArray<[string, Partial<RetryQuestion>, object]> = [
-  ['idempotent, broken', {}, {kind: 'retry', afterMs: 0}],
-  ['second try backs off', {attempts: 2}, {kind: 'retry', afterMs: 50}],
+const TABLE: ReadonlyArray<[string, Partial<RetryInput>, object]> = [
+  ['idempotent, connection broken', {}, {kind: 'retry', afterMs: 0}],
+  ['second attempt backs off', {attempts: 2}, {kind: 'retry', afterMs: 50}],
   ['refused backs off', {cause: 'refused'}, {kind: 'retry', afterMs: 25}],
   [
-    'a booking that was not sent',
+    'not idempotent, not sent',
     {idempotent: false, verdict: 'not_run', cause: 'unreachable'},
     {kind: 'retry', afterMs: 0},
   ],
   [
-    'a booking that may have run',
+    'not idempotent, may have run',
     {idempotent: false},
     {kind: 'stop', reason: 'not_repeatable', retryAfterMs: undefined},
   ],
   [
-    'a booking that ran',
+    'not idempotent, ran',
     {idempotent: false, verdict: 'ran'},
     {kind: 'stop', reason: 'not_repeatable', retryAfterMs: undefined},
   ],
-  ['hung up', {cause: 'cancelled'}, {kind: 'stop', reason: 'cancelled'}],
-  ['third failure', {attempts: 3}, {kind: 'stop', reason: 'too_many_attempts'}],
+  [
+    'cancelled by the caller',
+    {cause: 'cancelled'},
+    {kind: 'stop', reason: 'cancelled'},
+  ],
+  [
+    'third attempt failed',
+    {attempts: 3},
+    {kind: 'stop', reason: 'too_many_attempts'},
+  ],
   ['no time left', {remainingMs: 99}, {kind: 'stop', reason: 'deadline'}],
 ];
 
 for (const [title, changes, expected] of TABLE) {
   test(`retry: ${title}`, t => {
-    t.like(mayRetry(question(changes)), expected);
+    t.like(mayRetry(retryInput(changes)), expected);
   });
 }
 
-// Every endpoint fails because all are overloaded. If each failure came back as
-// another attempt, callers would see the outage last for as long as they call.
-test('an outage is met with a tenth more attempts, not with many times', t => {
+// Every endpoint fails from overload. If each failure caused another attempt,
+// the retries would keep up the overload for as long as callers send requests.
+test('in an outage retries add a tenth of the attempts, not a multiple', t => {
   const budgets = new ClassBudgets(DEFAULT_RETRY_BUDGET);
   const counter = brandAs<RequestClassId>('counter');
   let retries = 0;
   for (let nowMs = 0; nowMs < 100_000; nowMs += 10) {
     budgets.countRequest(counter, nowMs);
     const budget = budgets.of(counter);
-    const decision = mayRetry(question({budget, nowMs, cause: 'errored'}));
+    const decision = mayRetry(retryInput({budget, nowMs, cause: 'errored'}));
     if (decision.kind === 'retry') retries += 1;
   }
-  // 10,000 requests, 100 s of floor and what was kept at the start.
+  // A tenth of 10,000 requests, 100 s of refill, and the full budget at the
+  // start.
   t.true(retries >= 1000 && retries <= 1000 + 50 + 10, `${retries} retries`);
   const quotes = budgets.of(brandAs<RequestClassId>('quotes'));
   t.is(quotes.waitMs(100_000), 0);
 });
 
-test('a spent budget says when to come back', t => {
-  const budget = new TokenBucket({share: 0, floorPerSecond: 0.5, capacity: 1});
-  t.is(mayRetry(question({budget})).kind, 'retry');
-  t.like(mayRetry(question({budget})), {
+test('a spent budget states when to retry', t => {
+  const budget = new TokenBucket({share: 0, refillPerSecond: 0.5, capacity: 1});
+  t.is(mayRetry(retryInput({budget})).kind, 'retry');
+  t.like(mayRetry(retryInput({budget})), {
     reason: 'budget_spent',
     retryAfterMs: 2000,
   });
-  t.is(mayRetry(question({budget, nowMs: 2000})).kind, 'retry');
+  t.is(mayRetry(retryInput({budget, nowMs: 2000})).kind, 'retry');
 });
 
-test('whatever happens, no request that may not be repeated is', t => {
+test('a request that is not idempotent is retried only if it has not run', t => {
   const causes: FailureCause[] = ['unreachable', 'broken', 'silent', 'errored'];
   const verdicts: Verdict[] = ['not_run', 'may_have_run', 'ran'];
   const property = fc.property(
@@ -98,7 +107,7 @@
     fc.integer(),
     (verdict, cause, attempts, remainingMs, seed) => {
       const decision = mayRetry(
-        question({
+        retryInput({
           verdict,
           cause,
           attempts,
--- a/packages/policy/src/retry_budget.ts
+++ b/packages/policy/src/retry_budget.ts
@@ -1,7 +1,7 @@
 /**
- * Whether a failed attempt is followed by another. Retries are held to a share
+ * Decides whether a failed attempt is retried. Retries are limited to a share
  * of a class's recent requests: when endpoints fail because they are
- * overloaded, unlimited ones would multiply the load that made them fail.
+ * overloaded, unlimited retries would multiply the load that made them fail.
  */
 
 import type {RequestClassId} from '@snipestage/types/ids.js';
@@ -12,13 +12,13 @@
 /**
  * How an attempt failed.
  *
- * - `unreachable`: no connection came about.
+ * - `unreachable`: no connection was established.
  * - `broken`: the connection ended before the answer did.
  * - `silent`: nothing came within the time limit.
  * - `refused`: the endpoint answered with an error before doing any work.
  * - `errored`: the endpoint answered with an error.
  * - `mismatched`: the answer was to another request.
- * - `cancelled`: the caller or its withdrawn key ended it.
+ * - `cancelled`: the caller ended it, or its key was withdrawn.
  */
 export type FailureCause =
   | 'unreachable'
@@ -29,14 +29,14 @@
   | 'mismatched'
   | 'cancelled';
 
-/** What is known when an attempt has failed. */
+/** A failed attempt, and its request. */
 export interface FailedAttempt {
-  /** Over all attempts so far. */
+  /** Whether the request has run, over all attempts so far. */
   readonly verdict: Verdict;
   readonly idempotent: boolean;
   /** Attempts made, the failed one included. */
   readonly attempts: number;
-  /** Until the request's deadline. */
+  /** Time until the request's deadline. */
   readonly remainingMs: number;
   readonly cause: FailureCause;
 }
@@ -50,8 +50,8 @@
   | 'budget_spent';
 
 /**
- * A retry goes out on a fresh connection: the pooled one may have gone silent
- * for good, and the second attempt would wait there as the first one did.
+ * A retry goes out on a fresh connection: a pooled one may have gone silent for
+ * good, and the second attempt would hang there like the first.
  */
 export type RetryDecision =
   | {
@@ -62,12 +62,15 @@
   | {
       readonly kind: 'stop';
       readonly reason: StopReason;
-      /** When the caller may come back; absent where that could run it twice. */
+      /**
+       * When the caller may repeat the request; absent where that could run it
+       * twice, after a cancellation and when the budget never refills.
+       */
       readonly retryAfterMs?: number;
     };
 
-/** What {@link mayRetry} decides by. */
-export interface RetryQuestion extends FailedAttempt {
+/** Input of {@link mayRetry}. */
+export interface RetryInput extends FailedAttempt {
   readonly budget: TokenBucket;
   readonly nowMs: number;
   readonly random: RandomSource;
@@ -77,8 +80,8 @@
 /** Limits with their defaults in {@link DEFAULT_RETRY_LIMITS}. */
 export interface RetryLimits {
   readonly maxAttempts: number;
-  /** Less time than this is of no use to another attempt. */
-  readonly leastUsefulMs: number;
+  /** Time below which another attempt is of no use. */
+  readonly minUsefulMs: number;
   readonly firstBackoffMs: number;
   readonly maxBackoffMs: number;
 }
@@ -86,14 +89,14 @@
 /** Three attempts, backing off from 50 ms to 1 s. */
 export const DEFAULT_RETRY_LIMITS: RetryLimits = {
   maxAttempts: 3,
-  leastUsefulMs: 100,
+  minUsefulMs: 100,
   firstBackoffMs: 50,
   maxBackoffMs: 1000,
 };
 
 const RETRY_AFTER_MS = 1000;
 
-/** After these the next endpoint can be tried at once. */
+/** Causes after which the first retry, at the next endpoint, needs no delay. */
 const WITHOUT_BACKOFF: ReadonlySet<FailureCause> = new Set([
   'unreachable',
   'broken',
@@ -102,25 +105,25 @@
 ]);
 
 /**
- * Decides on another attempt, and pays for it from the budget.
+ * Decides on another attempt, and charges it to the budget.
  *
  * @example
  * const decision = mayRetry({...failed, budget, nowMs, random});
  * if (decision.kind === 'retry') await sleep(decision.afterMs);
  */
-export function mayRetry(question: RetryQuestion): RetryDecision {
-  const {verdict, idempotent, cause, budget, nowMs} = question;
-  const limits = {...DEFAULT_RETRY_LIMITS, ...question.limits};
-  // A booking that may have run would be made twice.
+export function mayRetry(input: RetryInput): RetryDecision {
+  const {verdict, idempotent, cause, budget, nowMs} = input;
+  const limits = {...DEFAULT_RETRY_LIMITS, ...input.limits};
+  // A request that may have run, such as a booking, could run twice.
   if (verdict !== 'not_run' && !idempotent) {
     return {kind: 'stop', reason: 'not_repeatable'};
   }
   if (cause === 'cancelled') return {kind: 'stop', reason: 'cancelled'};
-  if (question.attempts >= limits.maxAttempts) {
+  if (input.attempts >= limits.maxAttempts) {
     return stop('too_many_attempts', RETRY_AFTER_MS);
   }
-  const afterMs = backoffMs(question, limits);
-  if (question.remainingMs < afterMs + limits.leastUsefulMs) {
+  const afterMs = backoffMs(input, limits);
+  if (input.remainingMs < afterMs + limits.minUsefulMs) {
     return stop('deadline', RETRY_AFTER_MS);
   }
   const waitMs = budget.waitMs(nowMs);
@@ -135,9 +138,11 @@
   return {kind: 'stop', reason, retryAfterMs};
 }
 
-/** Full jitter, so that what failed together doesn't come back together. */
-function backoffMs(question: RetryQuestion, limits: RetryLimits): number {
-  const {attempts, cause, random} = question;
+/**
+ * Full jitter, so that attempts that failed together aren't retried together.
+ */
+function backoffMs(input: RetryInput, limits: RetryLimits): number {
+  const {attempts, cause, random} = input;
   if (attempts === 1 && WITHOUT_BACKOFF.has(cause)) return 0;
   const ceilingMs = Math.min(
     limits.firstBackoffMs * 2 ** (attempts - 1),
@@ -146,25 +151,27 @@
   return Math.round(random() * ceilingMs);
 }
 
-/** A tenth of the requests, and a few for a quiet class. */
+/** A tenth of the requests, and one in 2 s for a class with few requests. */
 export const DEFAULT_RETRY_BUDGET: TokenBucketOptions = {
   share: 0.1,
-  floorPerSecond: 0.5,
+  refillPerSecond: 0.5,
   capacity: 10,
 };
 
-/** One budget a request class: a class in trouble leaves the others theirs. */
+/**
+ * One budget per request class, so that a failing class can't use up others'.
+ */
 export class ClassBudgets {
   private readonly buckets = new Map<RequestClassId, TokenBucket>();
 
   constructor(private readonly options: TokenBucketOptions) {}
 
-  /** Counts a request, which pays a share of an extra attempt. */
+  /** Counts a request, which adds a share of an extra attempt to the budget. */
   countRequest(requestClass: RequestClassId, nowMs: number): void {
     this.of(requestClass).deposit(nowMs);
   }
 
-  /** The budget of a class, full at first. */
+  /** The budget of a class; starts full. */
   of(requestClass: RequestClassId): TokenBucket {
     const existing = this.buckets.get(requestClass);
     if (existing !== undefined) return existing;
--- a/packages/policy/src/stop_admission.test.ts
+++ b/packages/policy/src/stop_admission.test.ts
@@ -31,11 +31,11 @@
   ['a deadline within the margin', deadline(9001), 0, REFUSE],
   ['a deadline after the end', deadline(20_000), 0, REFUSE],
   ['a deadline that has passed', deadline(6000), 6001, REFUSE],
-  ['a call with time to spare', timeout(4000), 0, start(5000)],
+  ['a call with enough time left', timeout(4000), 0, start(5000)],
   ['a call at the last moment', timeout(4000), 5000, start(5000)],
   ['a call a moment too late', timeout(4000), 5001, REFUSE],
   ['a call longer than the grace time', timeout(9500), 0, REFUSE],
-  ['anything after the end', timeout(0), STOP_ENDS_AT_MS, REFUSE],
+  ['any attempt after the end', timeout(0), STOP_ENDS_AT_MS, REFUSE],
 ];
 
 for (const [title, limit, nowMs, expected] of TABLE) {
@@ -51,9 +51,9 @@
   }
 });
 
-test('what starts ends before the margin, whenever it starts', t => {
-  // An instance that lets through one call that outlasts it cuts a booking; its
-  // shop can't tell whether the customer has a place.
+test('an admitted attempt ends before the margin, whenever it starts', t => {
+  // If a stopping instance admits a call that outlasts it, it cuts the call;
+  // the caller of a booking then can't tell whether it was made.
   const limits = fc.oneof(
     fc.nat(20_000).map(deadline),
     fc.nat(20_000).map(timeout),
--- a/packages/policy/src/suspects.test.ts
+++ b/packages/policy/src/suspects.test.ts
@@ -31,8 +31,8 @@
   return names.map(name => table.judge(print(name), nowMs).kind);
 }
 
-// A request crashes the engine it runs on, with others beside it. Its caller
-// sends it again, and it would take the next engine down too.
+// A request crashes its engine, where other requests run too. Its caller sends
+// it again, and it would crash the next engine as well.
 test('a request that crashes endpoints is refused after two', t => {
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'poison', 'a', 'b')], 0);
@@ -53,7 +53,7 @@
   });
 });
 
-test('the refusal ends, then the memory of it', t => {
+test('the refusal ends first, then the crash is evicted', t => {
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'p'), crashOf('e2', 'p')], 0);
   t.deepEqual(judgements(table, 10 * MINUTE_MS - 1, 'p'), ['refuse']);
@@ -62,9 +62,9 @@
   t.is(table.size, 0);
 });
 
-// Two crashes come so close together that the first one's suspects still run
-// beside each other. Refusing all of them would lose innocent callers' work.
-test('two who were in both crashes run alone until it shows who it was', t => {
+// Two crashes follow so closely that the suspects of the first still run beside
+// each other. Refusing all of them would refuse requests that caused no crash.
+test('two requests in both crashes run alone until one is cleared', t => {
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'p', 'a'), crashOf('e2', 'p', 'a')], 0);
   t.deepEqual(judgements(table, 0, 'p', 'a'), ['run_alone', 'run_alone']);
@@ -73,9 +73,9 @@
 });
 
 // An endpoint crashes and the attempts there break off one by one; another
-// instance had attempts there too. Who is last in the reports must not be taken
-// for the one who ran alone, and lose its request to another's fault.
-test('a crash that is reported in pieces is one crash of all of them', t => {
+// instance had attempts there too. The last one reported must not be taken for
+// one that ran alone, and be refused for a crash that another caused.
+test('a crash reported in pieces is one crash with all their requests', t => {
   const table = new SuspectTable();
   const pieces = ['e1', 'e2'].flatMap(endpoint => [
     crashOf(endpoint, 'p', 'a'),
@@ -97,9 +97,9 @@
   t.deepEqual(judgements(table, 1000, 'p'), ['run_alone']);
 });
 
-// The platform takes back all cheap endpoints of a data centre at once. If what
-// ran there had to run alone from now on, most of it would miss its deadline.
-test('a data centre reclaimed makes no suspects, but for who was in several', t => {
+// The platform reclaims all cheap endpoints of a data centre at once. If every
+// request from there had to run alone, most would miss their deadline.
+test('a reclaim makes suspects only of requests at several endpoints', t => {
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'a', 'p'), crashOf('e2', 'b')], 0);
   table.merge([crashOf('e3', 'c', 'p')], 3000);
@@ -111,7 +111,7 @@
   ]);
 });
 
-test('memory is bounded, the oldest crash goes first', t => {
+test('the table is bounded and evicts the oldest crash first', t => {
   const table = new SuspectTable({maxCrashes: 2});
   ['e1', 'e2', 'e3'].forEach((endpoint, index) =>
     table.merge([crashOf(endpoint, `p${index}`)], index * 10_000),
@@ -120,7 +120,7 @@
   t.deepEqual(judgements(table, 30_000, 'p0', 'p2'), ['clear', 'run_alone']);
 });
 
-test('others are told what is new once, and of clearances', t => {
+test('changes are sent to other instances once, clearances included', t => {
   const table = new SuspectTable();
   const other = new SuspectTable();
   table.merge([crashOf('e1', 'p', 'a')], 1000);
@@ -133,7 +133,7 @@
   t.is(other.readAll(500_300)[0].ageMs, 800);
 });
 
-test('instances judge alike in whatever order they are told', t => {
+test('instances decide alike in whatever order crashes arrive', t => {
   const names = ['a', 'b', 'c', 'd'];
   const crash = fc
     .record({
@@ -173,10 +173,10 @@
   t.pass();
 });
 
-test('a crash while running alone counts though the endpoint is back at once', t => {
-  // An engine crashes under a request, is back within a second and crashes
-  // again under the same request running there alone. Taken for one crash, the
-  // request would take the engine down again and again.
+test('a crash while running alone counts even if the endpoint restarts fast', t => {
+  // A request crashes an engine, which is back within a second, and crashes it
+  // again while running there alone. If both counted as one crash, the request
+  // could crash the engine again and again.
   const table = new SuspectTable();
   const crash = (number: number, atMs: number, alone: boolean) =>
     table.merge(
--- a/packages/policy/src/token_bucket.ts
+++ b/packages/policy/src/token_bucket.ts
@@ -1,16 +1,16 @@
 /** A budget that requests fill and extra attempts draw from. */
 
-/** What a {@link TokenBucket} is made from. */
+/** Options of a {@link TokenBucket}. */
 export interface TokenBucketOptions {
   /** Extra attempts that each request pays for, such as 0.1. */
   readonly share: number;
-  /** What flows in without any request, so that a quiet class isn't stuck. */
-  readonly floorPerSecond: number;
-  /** Most that is kept, so that a calm day doesn't pay for a storm. */
+  /** Added without any requests, so that a class with few isn't stuck. */
+  readonly refillPerSecond: number;
+  /** Upper bound, so that a quiet period can't pay for a burst of retries. */
   readonly capacity: number;
 }
 
-/** Starts full. Times are milliseconds of any clock that doesn't go back. */
+/** Starts full. Times are milliseconds of any monotonic clock. */
 export class TokenBucket {
   private tokens: number;
   private updatedAtMs: number | undefined;
@@ -25,16 +25,16 @@
     this.add(this.options.share);
   }
 
-  /** How long until one attempt can be paid; 0 if it can now. */
+  /** Time until one attempt can be paid for; 0 if it can now. */
   waitMs(nowMs: number): number {
     this.refill(nowMs);
     if (this.tokens >= 1) return 0;
-    const {floorPerSecond} = this.options;
-    if (floorPerSecond <= 0) return Infinity;
-    return Math.ceil(((1 - this.tokens) / floorPerSecond) * 1000);
+    const {refillPerSecond} = this.options;
+    if (refillPerSecond <= 0) return Infinity;
+    return Math.ceil(((1 - this.tokens) / refillPerSecond) * 1000);
   }
 
-  /** Pays for one attempt if it can. */
+  /** Pays for one attempt; false if the budget is too low. */
   spend(nowMs: number): boolean {
     if (this.waitMs(nowMs) > 0) return false;
     this.tokens -= 1;
@@ -44,7 +44,7 @@
   private refill(nowMs: number): void {
     const sinceMs = Math.max(0, nowMs - (this.updatedAtMs ?? nowMs));
     this.updatedAtMs = Math.max(nowMs, this.updatedAtMs ?? nowMs);
-    this.add((sinceMs / 1000) * this.options.floorPerSecond);
+    this.add((sinceMs / 1000) * this.options.refillPerSecond);
   }
 
   private add(tokens: number): void {
--- a/packages/policy/src/token_costs.ts
+++ b/packages/policy/src/token_costs.ts
@@ -1,9 +1,9 @@
-/** What a request costs its client account, in weighted tokens. */
+/** Charges client accounts for their requests, in weighted tokens. */
 
 import type {DispatchQueue} from './dispatch_queue.js';
 import type {HeldPermit} from './permit_book.js';
 
-/** Reading a prompt token is batched; each output token takes a whole step. */
+/** Prompt tokens are read in batches; each output token takes a whole step. */
 const PROMPT_WEIGHT = 1;
 const OUTPUT_WEIGHT = 2;
 
@@ -12,7 +12,9 @@
   return promptTokens * PROMPT_WEIGHT + outputTokens * OUTPUT_WEIGHT;
 }
 
-/** Charges what an attempt is expected to produce, when it starts. */
+/**
+ * Charges the output that an attempt is expected to produce, when it starts.
+ */
 export function chargeExpected(
   queue: DispatchQueue,
   permit: HeldPermit,
@@ -22,7 +24,7 @@
   queue.charge(permit, permit.chargedTokens);
 }
 
-/** Charges what an attempt has produced beyond what was expected. */
+/** Charges the output of an attempt beyond what it has been charged so far. */
 export function chargeProgress(queue: DispatchQueue, permit: HeldPermit): void {
   const excess = tokenCost(0, permit.outputTokens) - permit.chargedTokens;
   if (excess <= 0) return;
@@ -30,7 +32,7 @@
   queue.charge(permit, excess);
 }
 
-/** Replaces the expectation by what the attempt has cost in the end. */
+/** Replaces the charges so far by the actual cost of the ended attempt. */
 export function settleCharge(
   queue: DispatchQueue,
   permit: HeldPermit,
