--- a/packages/policy/src/suspects.ts
+++ b/packages/policy/src/suspects.ts
@@ -53,9 +53,15 @@
 const DEFAULT_RETAIN_FOR_MS = 20 * MINUTE_MS;
 const DEFAULT_MAX_CRASHES = 256;
 const REFUSAL_CRASH_COUNT = 2;
-/** Instances that see the same crash of an endpoint see it within this time. */
+/**
+ * Several instances see one crash of an endpoint at nearly the same time; what
+ * they see within this time counts as one crash.
+ */
 const SAME_CRASH_WINDOW_MS = 5000;
-/** This many endpoints of a data centre lost within the window: a reclaim. */
+/**
+ * This many endpoints of a data centre that crash within
+ * {@link RECLAIM_WINDOW_MS} count as reclaimed.
+ */
 const RECLAIM_ENDPOINT_COUNT = 3;
 const RECLAIM_WINDOW_MS = 5000;
 
