--- a/packages/policy/src/allotment_plan.ts
+++ b/packages/policy/src/allotment_plan.ts
@@ -3,10 +3,10 @@
 import type {EndpointId, InstanceId} from '@snipestage/types/ids.js';
 import {hashText} from './rendezvous.js';
 
-/** Part of the permits that is divided equally, whatever each instance used. */
-const EQUAL_PART = 0.5;
+/** Share of the permits that is divided equally, regardless of use. */
+const EQUAL_SHARE = 0.5;
 
-/** How much of the cell an instance has used lately. */
+/** Recent use of the cell by one instance. */
 export interface InstanceUse {
   readonly instance: InstanceId;
   /** Mean number of permits in use. */
@@ -19,14 +19,15 @@
   readonly permits: number;
 }
 
-/** What each instance may start without asking. */
+/** Permits that each instance may use without requesting them. */
 export type AllotmentPlan = Map<InstanceId, Map<EndpointId, number>>;
 
 /**
- * Half in equal shares, so that an instance that was idle can start at once,
- * half by recent use. What does not divide goes by largest remainder, and among
- * equals by rendezvous hashing, so that it is not always the same instance that
- * goes without.
+ * Divides permits among instances: half in equal shares, so that an idle
+ * instance can start requests at once, and half by recent use. Permits that do
+ * not divide evenly are assigned by largest remainder, with ties broken by
+ * rendezvous hashing, so that it is not always the same instance that gets
+ * none.
  *
  * @example
  * planAllotments(
@@ -57,7 +58,7 @@
   return new Map(
     uses.map(({instance, recentUse}) => {
       const byUse = total > 0 ? recentUse / total : equal;
-      return [instance, EQUAL_PART * equal + (1 - EQUAL_PART) * byUse];
+      return [instance, EQUAL_SHARE * equal + (1 - EQUAL_SHARE) * byUse];
     }),
   );
 }
--- a/packages/policy/src/cell_choice.ts
+++ b/packages/policy/src/cell_choice.ts
@@ -1,35 +1,37 @@
-/** Which of its cells an entry instance sends a request to. */
+/** Chooses the cell to which an entry instance sends a request. */
 
 import type {CellId} from '@snipestage/types/ids.js';
 import type {RandomSource} from './random_source.js';
 import {rankByRendezvous} from './rendezvous.js';
 
-/** Waits that differ by less than this are taken as equal. */
-const EQUAL_WAIT_MS = 50;
+/** Expected waits within this of the shortest one are treated as equal. */
+const EQUAL_WAIT_TOLERANCE_MS = 50;
 
 /** A cell as one instance sees it. */
 export interface CellLoad {
   readonly cell: CellId;
-  /** Requests that could start without asking. */
+  /** Permits of the instance's allotment that are free. */
   readonly freePermits: number;
-  /** Requests of the instance that wait there. */
+  /** Requests of the instance that are waiting at the cell. */
   readonly waiting: number;
-  /** What a request would wait, by what others waited lately. */
+  /** Expected wait of a new request, estimated from recent waits. */
   readonly expectedWaitMs: number;
 }
 
-/** What {@link chooseCell} works from. */
+/** Options of {@link chooseCell}. */
 export interface CellChoiceOptions {
-  /** Cells that may serve the request; those that refused it left out. */
+  /** Cells that may serve the request, without those that refused it. */
   readonly loads: readonly CellLoad[];
   readonly prefixHash?: string;
   readonly random: RandomSource;
 }
 
 /**
- * The cell with the shortest expected wait. Among equals the one whose endpoints
- * have seen the prompt's start before, else the one with the most free permits
- * of two taken at random; `undefined` if there is none.
+ * Chooses the cell with the shortest expected wait; `undefined` if there is
+ * none. Among cells with equal waits, those with free permits are preferred. Of
+ * these, rendezvous hashing of the prompt prefix selects one, since its
+ * endpoints have probably seen the prefix before; without a prefix hash, the
+ * one with the most free permits of two random picks is chosen.
  *
  * @example
  * const cell = chooseCell({loads, random: Math.random});
@@ -39,7 +41,7 @@
   if (loads.length === 0) return undefined;
   const shortestMs = Math.min(...loads.map(load => load.expectedWaitMs));
   const equals = loads.filter(
-    load => load.expectedWaitMs <= shortestMs + EQUAL_WAIT_MS,
+    load => load.expectedWaitMs <= shortestMs + EQUAL_WAIT_TOLERANCE_MS,
   );
   const open = equals.filter(load => load.freePermits > 0);
   const candidates = open.length > 0 ? open : equals;
--- a/packages/policy/src/cell_dispatch.ts
+++ b/packages/policy/src/cell_dispatch.ts
@@ -1,4 +1,4 @@
-/** Grants permits to what waits in a cell, in the order of its queue. */
+/** Grants permits to the requests that wait in a cell, in queue order. */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
 import type {PermitAsk} from '@snipestage/types/permits.js';
@@ -7,7 +7,7 @@
 import type {EndpointView} from './endpoint_choice.js';
 import {chargeExpected} from './token_costs.js';
 
-/** Dispatches as far as permits go. */
+/** Grants permits as long as a waiting request can be placed. */
 export class CellDispatch {
   constructor(private readonly state: CellState) {}
 
@@ -16,20 +16,22 @@
     while (queue.size > 0 && this.dispatchOne(nowMs));
   }
 
-  /** Grants the first waiting request that any endpoint can take now. */
+  /**
+   * Grants a permit to the first waiting request that an endpoint can take now.
+   */
   private dispatchOne(nowMs: number): boolean {
     const views = this.state.endpoints.freeViews(nowMs);
     const unplaceable = new Set<string>();
     for (const request of this.state.policy.queue.inDispatchOrder()) {
-      const needs = needsOf(request.ask);
-      if (unplaceable.has(needs)) continue;
+      const placementKey = placementKeyOf(request.ask);
+      if (unplaceable.has(placementKey)) continue;
       const endpoint = this.place(request.ask, views, nowMs);
       if (endpoint !== undefined) {
         this.grant(request, endpoint, nowMs);
         return true;
       }
       if (views.length === 0 && !request.ask.suspect) return false;
-      unplaceable.add(needs);
+      unplaceable.add(placementKey);
     }
     return false;
   }
@@ -74,8 +76,11 @@
   }
 }
 
-/** Requests of equal needs can be placed alike. */
-function needsOf(ask: PermitAsk): string {
+/**
+ * Requests with equal keys are treated as equally placeable: once one of them
+ * can't be placed, the others are skipped. All suspects share one key.
+ */
+function placementKeyOf(ask: PermitAsk): string {
   if (ask.suspect) return 'suspect';
   return `${ask.cheapAllowed} ${ask.excluded.join(' ')}`;
 }
--- a/packages/policy/src/cell_endpoints.ts
+++ b/packages/policy/src/cell_endpoints.ts
@@ -1,4 +1,4 @@
-/** The endpoints of a cell with their limits, and which may run a request. */
+/** Endpoints of a cell, their limits and their eligibility for requests. */
 
 import type {AttemptId, EndpointId} from '@snipestage/types/ids.js';
 import type {PermitAsk} from '@snipestage/types/permits.js';
@@ -8,14 +8,14 @@
 import type {PermitBook} from './permit_book.js';
 import type {PolicySet} from './policy_set.js';
 
-/** An endpoint as the state dump shows it. */
+/** State of an endpoint, for the state dump. */
 export interface EndpointSnapshot extends LimitSnapshot {
   readonly endpoint: EndpointId;
   readonly kind: CellEndpoint['kind'];
   readonly leaving: boolean;
   readonly inFlight: number;
   readonly reserved: number;
-  /** The suspect that has the endpoint for itself, or is to get it. */
+  /** The suspect that runs alone on the endpoint or has claimed it. */
   readonly suspect?: AttemptId;
   readonly reportedLoad?: ReportedLoad;
 }
@@ -27,9 +27,9 @@
   reportedLoad?: ReportedLoad;
 }
 
-/** Keeps a limit for each endpoint, and the endpoints that suspects run on. */
+/** Keeps the limit of each endpoint and the suspect that has claimed it. */
 export class CellEndpoints {
-  /** False until the owner has been told of any endpoints. */
+  /** False until the endpoints are configured for the first time. */
   known = false;
   private readonly states = new Map<EndpointId, EndpointState>();
 
@@ -56,7 +56,7 @@
     if (state !== undefined) state.reportedLoad = load;
   }
 
-  /** Permits of all endpoints that may get work now. */
+  /** Current permits of all endpoints that are not leaving. */
   totalPermits(nowMs: number): number {
     let total = 0;
     for (const {config, limit} of this.states.values()) {
@@ -65,7 +65,10 @@
     return total;
   }
 
-  /** Permits that may be used without asking, before any is in use. */
+  /**
+   * Permits of each endpoint that may be allotted, those in use included; 0 for
+   * endpoints that are leaving or claimed by a suspect.
+   */
   allottable(nowMs: number): Map<EndpointId, number> {
     const permits = new Map<EndpointId, number>();
     for (const {config, limit, suspect} of this.states.values()) {
@@ -75,14 +78,17 @@
     return permits;
   }
 
-  /** Whether any endpoint could ever run the request. */
+  /** Whether any endpoint is eligible for the request, whatever its load. */
   canEverRun(ask: PermitAsk): boolean {
     return [...this.states.values()].some(({config}) =>
       isEligible(ask, config),
     );
   }
 
-  /** When the first endpoint that could run the request may get work again. */
+  /**
+   * Earliest time at which an eligible endpoint may receive work; `Infinity` if
+   * none is eligible.
+   */
   usableAtMs(ask: PermitAsk, nowMs: number): number {
     let earliest = Infinity;
     for (const {config, limit} of this.states.values()) {
@@ -92,7 +98,7 @@
     return earliest;
   }
 
-  /** Endpoints that have a permit free for others than suspects. */
+  /** Endpoints with a free permit for requests that are not suspects. */
   freeViews(nowMs: number): EndpointView[] {
     const reserved = this.book.reserved();
     const inFlight = this.book.inFlight();
@@ -110,15 +116,16 @@
     return views;
   }
 
-  /** Which of the views may run the request. */
+  /** The views of endpoints that are eligible for the request. */
   eligible(ask: PermitAsk, views: readonly EndpointView[]): EndpointView[] {
     return views.filter(view => this.isEligibleAt(ask, view.id));
   }
 
   /**
-   * An endpoint on which a suspect can run alone, once it is empty. Until then
-   * the endpoint is kept from others: with work always waiting it would never
-   * become empty by chance, and the suspect would never run.
+   * Claims an endpoint for a suspect to run on alone, and returns it once it is
+   * empty. Until then the claim keeps other requests off the endpoint: with
+   * work always waiting it would never become empty by chance, and the suspect
+   * would never run.
    */
   claimForSuspect(ask: PermitAsk, nowMs: number): EndpointId | undefined {
     const reserved = this.book.reserved();
@@ -129,20 +136,20 @@
     return claimed.limit.permits(nowMs) > 0 ? id : undefined;
   }
 
-  /** A suspect has been found running at an endpoint. */
+  /** Records that a suspect runs on an endpoint. */
   occupy(endpoint: EndpointId, suspect: AttemptId): void {
     const state = this.states.get(endpoint);
     if (state !== undefined) state.suspect = suspect;
   }
 
-  /** The suspect has ended, or waits no more. */
+  /** Releases the endpoint of a suspect that has ended or no longer waits. */
   releaseSuspect(attempt: AttemptId): void {
     for (const state of this.states.values()) {
       if (state.suspect === attempt) state.suspect = undefined;
     }
   }
 
-  /** Lets each limit look at its endpoint beside the others. */
+  /** Lets each limit compare its endpoint with the others. */
   review(nowMs: number): void {
     const inFlight = this.book.inFlight();
     const typicalBetweenTokensMs = this.typicalBetweenTokensMs(nowMs);
@@ -152,7 +159,10 @@
     }
   }
 
-  /** All instances have told what runs. */
+  /**
+   * Passes the number of running attempts to each limit once a new owner ends
+   * its grace period; does nothing if no attempt is running in the cell.
+   */
   takeOver(): void {
     const inFlight = this.book.inFlight();
     if (inFlight.size === 0) return;
@@ -202,7 +212,9 @@
     return undefined;
   }
 
-  /** One claim at a time: suspects must not take the whole cell. */
+  /**
+   * Allows one claim at a time, so that suspects do not take the whole cell.
+   */
   private claimLeastUsed(
     ask: PermitAsk,
     reserved: ReadonlyMap<EndpointId, number>,
@@ -216,7 +228,7 @@
     return least;
   }
 
-  /** The lower median: of two endpoints, the slower one is not typical. */
+  /** Lower median, since of two endpoints the slower one is not typical. */
   private typicalBetweenTokensMs(nowMs: number): number | undefined {
     const known = [...this.states.values()]
       .map(({limit}) => limit.snapshot(nowMs).betweenTokensMs)
--- a/packages/policy/src/cell_messages.ts
+++ b/packages/policy/src/cell_messages.ts
@@ -1,4 +1,4 @@
-/** What the owner of a cell is told and what it decides. */
+/** Messages to the owner of a cell, and the decisions that it sends. */
 
 import type {
   RequestClass,
@@ -14,7 +14,7 @@
   PermitRelease,
 } from '@snipestage/types/permits.js';
 
-/** An endpoint of the cell, as configured. */
+/** Configuration of an endpoint of the cell. */
 export interface CellEndpoint {
   readonly id: EndpointId;
   readonly kind: EndpointKind;
@@ -22,7 +22,7 @@
   readonly leaving: boolean;
 }
 
-/** Load as an endpoint reported it, late. */
+/** Load that an endpoint reported `ageMs` ago. */
 export interface ReportedLoad {
   readonly endpoint: EndpointId;
   readonly running: number;
@@ -30,18 +30,18 @@
   readonly ageMs: number;
 }
 
-/** Tokens of a running attempt so far, for fairness by work done. */
+/** Tokens that a running attempt has produced, for fairness by work done. */
 export interface AttemptProgress {
   readonly attempt: AttemptId;
   readonly outputTokens: number;
-  /** From the start to the last of them, by the instance's clock. */
+  /** Time from the start to the last token, by the instance's clock. */
   readonly elapsedMs?: number;
 }
 
 /** A message to the owner of a cell. */
 export type CellInput =
   | {readonly kind: 'ask'; readonly ask: PermitAsk}
-  /** The caller hung up or its key was withdrawn while it waited. */
+  /** The caller hung up or its key was withdrawn while the request waited. */
   | {readonly kind: 'withdraw'; readonly attempt: AttemptId}
   | {
       readonly kind: 'release';
@@ -53,22 +53,24 @@
       readonly instance: InstanceId;
       readonly progress: readonly AttemptProgress[];
     }
-  /** All that an instance holds: told to a new owner, and from time to time. */
+  /**
+   * All permits that an instance holds; sent to a new owner and periodically.
+   */
   | {
       readonly kind: 'in_use';
       readonly instance: InstanceId;
       readonly permits: readonly PermitInUse[];
     }
-  /** Attempts that an instance began under its allotment, without asking. */
+  /** Attempts that an instance started under its allotment. */
   | {
       readonly kind: 'started';
       readonly instance: InstanceId;
       readonly permits: readonly PermitInUse[];
     }
   /**
-   * The instance keeps to the allotment of this sequence: what an older one gave
-   * and this one does not may go to others. Comes after what was begun under
-   * the older one.
+   * The instance has applied the allotment of this sequence: permits that only
+   * an older one included may go to others. Sent after the `started` messages
+   * of attempts that were started under the older one.
    */
   | {
       readonly kind: 'allotment_applied';
@@ -81,7 +83,7 @@
   | {readonly kind: 'classes'; readonly classes: readonly RequestClass[]}
   | {readonly kind: 'load'; readonly load: ReportedLoad};
 
-/** A decision of the owner of a cell, for one instance. */
+/** A decision of the owner of a cell, addressed to one instance. */
 export type CellOutput =
   | {
       readonly kind: 'grant';
--- a/packages/policy/src/cell_meter.ts
+++ b/packages/policy/src/cell_meter.ts
@@ -5,10 +5,12 @@
 const MS_PER_SECOND = 1000;
 /** Weight of the newest sample in a moving mean. */
 const SAMPLE_WEIGHT = 0.1;
-/** Window of a rate of arrivals. */
-const RATE_WINDOW_MS = 2000;
-/** Mean deviations added to a mean, as for a retransmission timeout (RFC 6298). */
-const SPREAD_MARGIN = 2;
+/** Time constant with which the arrival rate decays. */
+const ARRIVAL_RATE_WINDOW_MS = 2000;
+/**
+ * Mean deviations added to a mean, as for a retransmission timeout (RFC 6298).
+ */
+const SPREAD_MARGIN_DEVIATIONS = 2;
 const MIN_RETRY_AFTER_MS = 200;
 const MAX_RETRY_AFTER_MS = 30_000;
 
@@ -18,13 +20,14 @@
 }
 
 /**
- * Measures how long permits are held and how often requests of each tier come.
- * The drain rate follows from Little's law: permits over the mean time that one
- * is held. Counting completions instead would give, when a burst begins, the
- * rate of the quiet time before it, and refuse what could well be served.
+ * Measures how long permits are held and at which rate requests of each tier
+ * arrive. The drain rate follows from Little's law: permits divided by the mean
+ * time that one is held. Counting completions instead would, at the start of a
+ * burst, give the rate of the quiet time before it, and requests that could be
+ * served would be refused.
  */
 export class CellMeter implements CellRates {
-  private heldMs: number | undefined;
+  private meanHeldMs: number | undefined;
   private meanFirstTokenMs: number | undefined;
   private firstTokenSpreadMs = 0;
   private permits = 0;
@@ -32,21 +35,23 @@
   private readonly arrivals = new Map<number, RateCount>();
 
   get drainPerSecond(): number {
-    if (this.heldMs === undefined || this.heldMs <= 0) return 0;
-    return (this.permits / this.heldMs) * MS_PER_SECOND;
+    if (this.meanHeldMs === undefined || this.meanHeldMs <= 0) return 0;
+    return (this.permits / this.meanHeldMs) * MS_PER_SECOND;
   }
 
   /**
-   * How long it takes from a grant to the first token, with a margin for its
-   * spread: granted later than that before its deadline, a request would run for
-   * nothing.
+   * Time from a grant to the first token, with a margin for its spread; 0 if
+   * unknown. A request that is granted less than this before its deadline would
+   * run in vain.
    */
   get firstTokenMs(): number {
     if (this.meanFirstTokenMs === undefined) return 0;
-    return this.meanFirstTokenMs + SPREAD_MARGIN * this.firstTokenSpreadMs;
+    return (
+      this.meanFirstTokenMs + SPREAD_MARGIN_DEVIATIONS * this.firstTokenSpreadMs
+    );
   }
 
-  /** Sets the time and the permits of the cell at that time. */
+  /** Sets the current time and the number of permits of the cell. */
   update(nowMs: number, permits: number): void {
     this.nowMs = nowMs;
     this.permits = permits;
@@ -57,17 +62,18 @@
       perSecond: 0,
       updatedAtMs: this.nowMs,
     };
-    rate.perSecond = this.decayed(rate) + MS_PER_SECOND / RATE_WINDOW_MS;
+    rate.perSecond =
+      this.decayed(rate) + MS_PER_SECOND / ARRIVAL_RATE_WINDOW_MS;
     rate.updatedAtMs = this.nowMs;
     this.arrivals.set(tier, rate);
   }
 
   released(heldMs: number): void {
-    this.heldMs = blend(this.heldMs, heldMs);
+    this.meanHeldMs = blend(this.meanHeldMs, heldMs);
   }
 
-  /** First token after the grant, the way of the grant included. */
-  firstTokenCame(afterMs: number): void {
+  /** Records the time from a grant to the first token, transit included. */
+  firstTokenObserved(afterMs: number): void {
     const error = Math.abs(afterMs - (this.meanFirstTokenMs ?? afterMs));
     this.meanFirstTokenMs = blend(this.meanFirstTokenMs, afterMs);
     this.firstTokenSpreadMs = blend(this.firstTokenSpreadMs, error);
@@ -82,8 +88,8 @@
   }
 
   /**
-   * When to come back, spread by `random` (0 to 1): callers refused together
-   * would else come back together.
+   * Time after which to retry, spread by `random` (0 to 1), since callers that
+   * were refused together would otherwise retry together.
    */
   retryAfterMs(waitMs: number, random: number): number {
     const spread = waitMs * (1 + random / 4);
@@ -93,7 +99,7 @@
 
   private decayed(rate: RateCount): number {
     const ageMs = this.nowMs - rate.updatedAtMs;
-    return rate.perSecond * Math.exp(-ageMs / RATE_WINDOW_MS);
+    return rate.perSecond * Math.exp(-ageMs / ARRIVAL_RATE_WINDOW_MS);
   }
 }
 
--- a/packages/policy/src/cell_owner.test.ts
+++ b/packages/policy/src/cell_owner.test.ts
@@ -63,13 +63,14 @@
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 1})], {
     maxWaiting: 2,
   });
-  const told = ['running', 'low-old', 'low-new'].flatMap((name, index) =>
-    owner.receive(
-      {kind: 'ask', ask: makeAsk(name, {tier: index === 0 ? 0 : 2})},
-      index,
-    ),
+  const earlierOutputs = ['running', 'low-old', 'low-new'].flatMap(
+    (name, index) =>
+      owner.receive(
+        {kind: 'ask', ask: makeAsk(name, {tier: index === 0 ? 0 : 2})},
+        index,
+      ),
   );
-  t.deepEqual(refusedOf(told), []);
+  t.deepEqual(refusedOf(earlierOutputs), []);
   const ask = makeAsk('high', {tier: 0});
   t.deepEqual(refusedOf(owner.receive({kind: 'ask', ask}, 9)), [
     'low-new overloaded',
@@ -77,8 +78,8 @@
 });
 
 test('what cannot be served in time is refused at once', t => {
-  // A burst fills the queue. Without this a caller would wait until its deadline
-  // only to hear that it was never served.
+  // A burst fills the queue. Without this a caller would wait until its
+  // deadline only to hear that it was never served.
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 1})]);
   owner.receive({kind: 'ask', ask: makeAsk('a')}, 0);
   const release = makeRelease('a', 'e1');
@@ -125,9 +126,12 @@
   // of, each running request would take two permits of its endpoint.
   const owner = createOwner([makeEndpoint('e1')]);
   const permit = {...makeAsk('a'), endpoint: makeEndpoint('e1').id};
-  const told = {...permit, outputTokens: 0, underAllotment: true};
-  owner.receive({kind: 'started', instance: FIRST, permits: [told]}, 0);
-  const listed = {...told, underAllotment: undefined};
+  const startedPermit = {...permit, outputTokens: 0, underAllotment: true};
+  owner.receive(
+    {kind: 'started', instance: FIRST, permits: [startedPermit]},
+    0,
+  );
+  const listed = {...startedPermit, underAllotment: undefined};
   owner.receive({kind: 'in_use', instance: FIRST, permits: [listed]}, 1);
   t.true(owner.snapshot(1).permits[0].underAllotment);
 });
@@ -173,8 +177,12 @@
   );
   const running = makeAsk('old');
   const permit = {...running, endpoint: makeEndpoint('e1').id, outputTokens: 3};
-  const told = {kind: 'in_use', instance: FIRST, permits: [permit]} as const;
-  owner.receive(told, 2);
+  const inUseMessage = {
+    kind: 'in_use',
+    instance: FIRST,
+    permits: [permit],
+  } as const;
+  owner.receive(inUseMessage, 2);
   owner.receive({kind: 'in_use', instance: SECOND, permits: []}, 3);
   t.is(owner.snapshot(4).holdingBack, false);
   t.deepEqual(grantedOf(owner.tick(5)), []);
--- a/packages/policy/src/cell_owner.ts
+++ b/packages/policy/src/cell_owner.ts
@@ -21,22 +21,22 @@
 const DEFAULT_GRACE_MS = 1500;
 const REVIEW_EVERY_MS = 250;
 
-/** What a {@link CellOwner} is made from. */
+/** Options of {@link CellOwner}. */
 export interface CellOwnerOptions {
   readonly cell: CellId;
   readonly random: RandomSource;
-  /** When it took the cell over. */
+  /** When the owner took over the cell. */
   readonly startedAtMs: number;
-  /** Dispatch order, endpoint choice and limits; the tiered ones if absent. */
+  /** Dispatch order, endpoint choice and limits; `tiered` by default. */
   readonly policy?: PolicySet;
   readonly maxWaiting?: number;
-  /** How long it waits for instances to tell what they hold; 0 for not at all. */
+  /** How long to wait for instances to report what they hold; 0 disables it. */
   readonly graceMs?: number;
-  /** Whether instances may start without asking while nothing waits. */
+  /** Whether instances get allotments while nothing waits. */
   readonly standingAllotments?: boolean;
 }
 
-/** What the owner has decided and counted, for the state dump. */
+/** State and counters of an owner, for the state dump. */
 export interface CellSnapshot {
   readonly cell: CellId;
   readonly policy: PolicyName;
@@ -51,8 +51,8 @@
 }
 
 /**
- * Takes messages and the time, and returns decisions; it does no I/O and sets no
- * timer. Call {@link tick} every few tens of milliseconds.
+ * Takes messages and the time, and returns decisions; it does no I/O and sets
+ * no timer. Call {@link tick} every few tens of milliseconds.
  *
  * @example
  * const owner = new CellOwner({cell, random: Math.random, startedAtMs: nowMs});
@@ -65,7 +65,7 @@
   private readonly dispatch: CellDispatch;
   private readonly refusals: CellRefusals;
   private readonly reports: PermitReports;
-  private readonly heardFrom = new Set<InstanceId>();
+  private readonly reportedInstances = new Set<InstanceId>();
   private holdingBack: boolean;
   private reviewedAtMs = -Infinity;
   private arrivals = 0;
@@ -87,7 +87,7 @@
   }
 
   /**
-   * Takes one message in.
+   * Handles one message.
    *
    * @example
    * owner.receive({kind: 'instance_joined', instance}, nowMs);
@@ -100,7 +100,8 @@
   }
 
   /**
-   * Lets time pass: refuses what has waited too long and divides permits.
+   * Advances the time: refuses requests that have waited too long and divides
+   * permits.
    *
    * @example
    * setInterval(() => send(owner.tick(performance.now())), 50);
@@ -148,7 +149,7 @@
       case 'progress':
         return this.reports.progress(input.progress, nowMs);
       case 'in_use':
-        this.heardFrom.add(input.instance);
+        this.reportedInstances.add(input.instance);
         this.reports.inUse(input.instance, input.permits, nowMs);
         return this.endHoldingBack(nowMs);
       case 'started':
@@ -169,14 +170,14 @@
     }
   }
 
-  /** Asks come again after a change of owner or a lost frame. */
+  /** Requests are repeated after a change of owner or a lost frame. */
   private ask(ask: PermitAsk, nowMs: number): void {
     const {book, policy, allotments, meter} = this.state;
     const held = book.get(ask.attempt);
     if (held !== undefined) return this.state.sendGrant(held);
     if (policy.queue.has(ask.attempt)) {
-      // The instance asks again because it has heard nothing for a while, and
-      // would take a silent owner for a dead one.
+      // The instance repeats its request because it has received nothing for a
+      // while; without an answer it would take this owner for dead.
       return this.state.send(...allotments.repeat(ask.instance, nowMs));
     }
     meter.arrived(ask.tier);
@@ -206,8 +207,9 @@
   }
 
   /**
-   * A new owner makes itself known, so that an instance that has not noticed the
-   * change, or has had no request for the cell yet, tells what it holds.
+   * During its grace period a new owner sends a message to each instance that
+   * joins, so that an instance that has not noticed the change, or has had no
+   * request for the cell yet, reports what it holds.
    */
   private instanceJoined(instance: InstanceId, nowMs: number): void {
     const {allotments} = this.state;
@@ -219,7 +221,7 @@
   private instanceGone(instance: InstanceId): void {
     const {allotments, book, policy} = this.state;
     allotments.leave(instance);
-    this.heardFrom.delete(instance);
+    this.reportedInstances.delete(instance);
     for (const {attempt} of book.heldBy(instance)) this.state.free(attempt);
     book.forgetInstance(instance);
     for (const request of policy.queue.all()) {
@@ -230,18 +232,19 @@
   }
 
   /**
-   * A new owner does not know what runs. Were it to grant at once, endpoints
-   * full under its predecessor would run at twice their limit; so it waits until
-   * all live instances have told what they hold, or long enough.
+   * A new owner does not know what runs. If it granted permits at once,
+   * endpoints that were full under its predecessor would run at twice their
+   * limit. It therefore waits until all live instances have reported what they
+   * hold, or until the grace period has passed.
    */
   private endHoldingBack(nowMs: number): void {
     if (!this.holdingBack) return;
     const instances = this.state.allotments.instances();
-    const allHeard =
+    const allReported =
       instances.length > 0 &&
-      instances.every(instance => this.heardFrom.has(instance));
+      instances.every(instance => this.reportedInstances.has(instance));
     const heldMs = nowMs - this.options.startedAtMs;
-    if (!allHeard && heldMs < this.options.graceMs) return;
+    if (!allReported && heldMs < this.options.graceMs) return;
     this.holdingBack = false;
     this.state.endpoints.takeOver();
   }
--- a/packages/policy/src/cell_properties.test.ts
+++ b/packages/policy/src/cell_properties.test.ts
@@ -87,7 +87,7 @@
   kind: fc.constant('new_owner' as const),
   which,
 });
-const soundStep: fc.Arbitrary<Step> = fc.oneof(
+const faultFreeStep: fc.Arbitrary<Step> = fc.oneof(
   {weight: 20, arbitrary: ordinaryStep},
   {weight: 1, arbitrary: handOver},
 );
@@ -259,16 +259,16 @@
     ];
     for (const input of inputs)
       this.decide(this.owner.receive(input, this.nowMs));
-    this.tellOwner(this.owningInstance);
+    this.announceOwner(this.owningInstance);
   }
 
   private loseOwner(): void {
     this.owningInstance = null;
     this.loseFrames();
-    this.tellOwner(null);
+    this.announceOwner(null);
   }
 
-  private tellOwner(owner: InstanceId | null): void {
+  private announceOwner(owner: InstanceId | null): void {
     for (const [instance, client] of this.clients) {
       this.carryOut(instance, client.ownerChanged(owner, this.nowMs));
     }
@@ -315,20 +315,23 @@
 }
 
 test('with one owner no endpoint ever runs above its limit', t => {
-  // Allotments shrink and grow, grants and releases cross on the way, and owners
-  // follow each other without knowing what runs. Above its limit an engine slows
-  // down for all that it runs.
+  // Allotments shrink and grow, grants and releases cross on the way, and
+  // owners follow each other without knowing what runs. Above its limit an
+  // engine slows down for all that it runs.
   fc.assert(
-    fc.property(fc.array(soundStep, {maxLength: 120, size: 'max'}), steps => {
-      const world = new World(() => {});
-      for (const step of steps) {
-        world.apply(step);
-        for (const {id, maxConcurrency} of ENDPOINTS) {
-          if (runningAt(world, id) > maxConcurrency) return false;
+    fc.property(
+      fc.array(faultFreeStep, {maxLength: 120, size: 'max'}),
+      steps => {
+        const world = new World(() => {});
+        for (const step of steps) {
+          world.apply(step);
+          for (const {id, maxConcurrency} of ENDPOINTS) {
+            if (runningAt(world, id) > maxConcurrency) return false;
+          }
         }
-      }
-      return true;
-    }),
+        return true;
+      },
+    ),
     {seed: SEED, numRuns: RUNS},
   );
   t.pass();
@@ -339,7 +342,7 @@
     fc.property(
       fc.array(ordinaryStep, {maxLength: 120, size: 'max'}),
       steps => {
-        let sound = true;
+        let holds = true;
         const world: World = new World(output => {
           if (output.kind !== 'refuse') return;
           if (output.refusal.reason !== 'overloaded') return;
@@ -347,11 +350,11 @@
           for (const queue of world.snapshot().queue) {
             // One place of each of these classes is on top of the common ones.
             const own = CLASSES[queue.tier].guaranteedShare > 0 ? 1 : 0;
-            if (queue.tier > tier && queue.waiting > own) sound = false;
+            if (queue.tier > tier && queue.waiting > own) holds = false;
           }
         });
         for (const step of steps) world.apply(step);
-        return sound;
+        return holds;
       },
     ),
     {seed: SEED, numRuns: RUNS},
--- a/packages/policy/src/cell_refusals.ts
+++ b/packages/policy/src/cell_refusals.ts
@@ -1,19 +1,23 @@
-/** Refuses what a cell can't serve: too late, too much, or nowhere to run. */
+/**
+ * Refuses requests that a cell can't serve: too late, too many, no endpoint.
+ */
 
 import type {PermitRefusal} from '@snipestage/types/permits.js';
 import type {CellState} from './cell_state.js';
 import type {WaitingRequest} from './dispatch_queue.js';
 
-/** Told where nothing is known of when coming back would help. */
-const UNKNOWN_WAIT_MS = 1000;
+/** Basis of the retry delay when it is unknown when a retry could succeed. */
+const DEFAULT_RETRY_WAIT_MS = 1000;
 
-/** What {@link CellRefusals} are made from. */
+/** Options of {@link CellRefusals}. */
 export interface CellRefusalsOptions {
   readonly state: CellState;
   readonly maxWaiting: number;
 }
 
-/** Decides on refusals; only what waits is refused, never what runs. */
+/**
+ * Decides on refusals; only waiting requests are refused, never running ones.
+ */
 export class CellRefusals {
   private readonly state: CellState;
 
@@ -21,22 +25,24 @@
     this.state = options.state;
   }
 
-  /** True if no endpoint could ever run the request, which is then refused. */
+  /**
+   * Refuses a request that no endpoint could ever run; true if it was refused.
+   */
   refuseUnservable(request: WaitingRequest): boolean {
     const {endpoints} = this.state;
     if (!endpoints.known || endpoints.canEverRun(request.ask)) return false;
-    this.refuse(request, 'no_endpoint', UNKNOWN_WAIT_MS);
+    this.refuse(request, 'no_endpoint', DEFAULT_RETRY_WAIT_MS);
     return true;
   }
 
-  /** Looks over all that waits after a change of the endpoints. */
+  /** Checks all waiting requests after a change of the endpoints. */
   refuseAllUnservable(): void {
     for (const request of this.state.policy.queue.all()) {
       this.refuseUnservable(request);
     }
   }
 
-  /** Refuses at once what can't make its deadline; true if it was refused. */
+  /** Refuses a request that can't meet its deadline; true if it was refused. */
   refuseUnreachable(
     request: WaitingRequest,
     waitMs: number,
@@ -56,7 +62,9 @@
     return true;
   }
 
-  /** Keeps the queue within its limit: lowest tier first. */
+  /**
+   * Keeps the queue within its limit; the queue chooses which request to shed.
+   */
   shed(incoming: WaitingRequest): void {
     const {queue} = this.state.policy;
     if (queue.countAgainstLimit() <= this.options.maxWaiting) return;
@@ -65,7 +73,9 @@
     this.refuse(victim, 'overloaded', waitMs);
   }
 
-  /** Refuses what has waited so long that its first token would be late. */
+  /**
+   * Refuses waiting requests whose first token would be late if granted now.
+   */
   refuseLate(nowMs: number): void {
     const {policy, meter} = this.state;
     const latestMs = nowMs + meter.firstTokenMs;
--- a/packages/policy/src/cell_state.ts
+++ b/packages/policy/src/cell_state.ts
@@ -1,4 +1,4 @@
-/** What the parts of a cell's owner share. */
+/** State that the parts of a cell's owner share. */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
 import type {AttemptId, CellId, RequestClassId} from '@snipestage/types/ids.js';
@@ -25,14 +25,14 @@
   withdrawn: number;
 }
 
-/** What a {@link CellState} is made from. */
+/** Options of {@link CellState}. */
 export interface CellStateOptions {
   readonly cell: CellId;
   readonly random: RandomSource;
   readonly policy: PolicySet;
 }
 
-/** Queue, permits, endpoints and what is to be told, of one cell. */
+/** Queue, permits, endpoints and pending outputs of one cell. */
 export class CellState {
   readonly policy: PolicySet;
   readonly random: RandomSource;
@@ -76,7 +76,7 @@
     return this.targets.get(requestClass);
   }
 
-  /** Takes a request out of the queue, and its claim to an endpoint. */
+  /** Removes a request from the queue and releases its claim to an endpoint. */
   removeWaiting(attempt: AttemptId): WaitingRequest | undefined {
     const request = this.policy.queue.remove(attempt);
     if (request?.ask.suspect) this.endpoints.releaseSuspect(attempt);
--- a/packages/policy/src/cells.ts
+++ b/packages/policy/src/cells.ts
@@ -1,11 +1,12 @@
 /**
  * Cells: small groups of endpoints of one model or service in one data centre,
- * each with an owner among the entry instances there.
+ * each owned by one of the entry instances there.
  *
- * Everything here follows from the configuration and the live instances alone,
- * so that instances that know the same agree without a message. Chunks of the
- * sorted ids were turned down: an endpoint that goes shifts all behind it, and
- * hysteresis against that needs a memory that a new instance does not have.
+ * The plan depends on the configuration and the live instances alone, so that
+ * instances with the same view agree without exchanging messages. Cells are not
+ * chunks of the sorted endpoint ids: an endpoint that leaves would shift all
+ * behind it, and hysteresis against that needs state that a new instance does
+ * not have.
  */
 
 import type {
@@ -25,32 +26,35 @@
 const DEFAULT_ENDPOINTS_PER_CELL = 4;
 const DEFAULT_CELLS_PER_INSTANCE = 4;
 
-/** A cell with all that work on it. */
+/** A cell with its endpoints, the instances that use it and its owner. */
 export interface Cell {
   readonly id: CellId;
   readonly dataCentre: DataCentreId;
   readonly target: EndpointTarget;
   readonly endpoints: readonly EndpointId[];
-  /** Entry instances that send requests there. */
+  /** Entry instances that send requests to the cell. */
   readonly instances: readonly InstanceId[];
   /** Absent when no instance is live. */
   readonly owner?: InstanceId;
 }
 
-/** What {@link planCells} works from. */
+/** Options of {@link planCells}. */
 export interface CellPlanOptions {
   readonly dataCentre: DataCentreId;
-  /** Those of other data centres are left out. */
+  /** Endpoints of other data centres are ignored. */
   readonly endpoints: Iterable<Endpoint>;
   /** Live entry instances of the data centre. */
   readonly instances: Iterable<InstanceId>;
   readonly endpointsPerCell?: number;
-  /** Cells of one target that an instance works with; all when there are few. */
+  /**
+   * Number of cells of one target that an instance uses; all if there are
+   * fewer.
+   */
   readonly cellsPerInstance?: number;
 }
 
 /**
- * All cells of a data centre.
+ * Plans all cells of a data centre.
  *
  * @example
  * const cells = planCells({
@@ -72,7 +76,8 @@
 }
 
 /**
- * The owner of a cell among the instances that work with it.
+ * Chooses the owner of a cell among the instances that use it; `undefined` if
+ * there are none.
  *
  * @example
  * ownerOf(cell.id, cell.instances);
--- a/packages/policy/src/class_queue.ts
+++ b/packages/policy/src/class_queue.ts
@@ -1,4 +1,4 @@
-/** Requests of one class that wait: fair between client accounts. */
+/** Queue of one request class, fair between client accounts. */
 
 import type {
   AttemptId,
@@ -10,17 +10,17 @@
 
 type AccountQueue = Map<AttemptId, WaitingRequest>;
 
-/** What a {@link ClassQueue} is made from. */
+/** Options of {@link ClassQueue}. */
 export interface ClassQueueOptions {
   readonly requestClass: RequestClassId;
   readonly tier?: number;
-  /** Share of the dispatches kept for the class. */
+  /** Share of the dispatches that is guaranteed to the class. */
   readonly guaranteedShare?: number;
 }
 
 /**
- * Within an account, in order of arrival; between accounts, the one for which
- * the fewest tokens were produced goes first.
+ * Orders the requests of an account by arrival, and puts the account for which
+ * the fewest tokens were produced first.
  */
 export class ClassQueue {
   readonly requestClass: RequestClassId;
@@ -65,14 +65,14 @@
     const least = this.counters.leastServed();
     if (least === undefined) return;
     yield* this.accounts.get(least)?.values() ?? [];
-    // Seldom reached: only when none of these can be placed.
+    // Rarely reached: only when none of the requests above can be placed.
     for (const account of this.counters.inOrder()) {
       if (account === least) continue;
       yield* this.accounts.get(account)?.values() ?? [];
     }
   }
 
-  /** The one that has waited longest. */
+  /** The request that has waited longest. */
   oldest(): WaitingRequest | undefined {
     let oldest: WaitingRequest | undefined;
     for (const queue of this.accounts.values()) {
@@ -87,10 +87,11 @@
   }
 
   /**
-   * Whom to shed: the newest of the account with the most requests waiting, but
-   * never `kept`. Were it simply the newest, an account that fills the queue
-   * would have the requests of all others refused in place of its own: in the
-   * measurement the worst of them attained 16%, and 100% this way.
+   * Chooses the request to shed: the newest of the account with the most
+   * waiting requests, but never `kept`. If the newest of all were shed, an
+   * account that fills the queue would cause the requests of others to be
+   * refused instead of its own: in simulation the worst of the others attained
+   * 16%, and 100% with this rule.
    */
   newestOfLargest(kept?: WaitingRequest): WaitingRequest | undefined {
     let largest: {newest: WaitingRequest; size: number} | undefined;
@@ -105,8 +106,9 @@
   }
 
   /**
-   * How many go before a newcomer of the account: it takes turns with the other
-   * accounts, however much each of them has waiting.
+   * Number of requests dispatched before a new one of the account: it takes
+   * turns with the other accounts, however many requests each of them has
+   * waiting.
    */
   countAhead(account: ClientAccountId): number {
     const own = this.accounts.get(account)?.size ?? 0;
--- a/packages/policy/src/client_allotment.ts
+++ b/packages/policy/src/client_allotment.ts
@@ -1,11 +1,11 @@
-/** What one instance may start at a cell without asking. */
+/** Permits of a cell that one instance may use without requesting them. */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
 import type {Allotment, PermitAsk} from '@snipestage/types/permits.js';
 import type {CellEndpoint} from './cell_messages.js';
 import {isEligible, type EndpointView} from './endpoint_choice.js';
 
-/** An allotment and its use, for the state dump. */
+/** State of an allotment and its use, for the state dump. */
 export interface AllotmentSnapshot {
   readonly sequence: number;
   readonly endpoints: ReadonlyArray<{
@@ -15,15 +15,15 @@
   }>;
 }
 
-/** The allotment in force and how much of it is used. */
+/** The allotment in force and how much of it is in use. */
 export class ClientAllotment {
   private sequence = 0;
   private permits = new Map<EndpointId, number>();
   private readonly used = new Map<EndpointId, number>();
-  /** Whole limits of the endpoints as the owner has learnt them. */
+  /** Full limits of the endpoints, as learnt by the owner. */
   readonly learntLimits = new Map<EndpointId, number>();
 
-  /** Takes over a newer allotment; false if it is not newer. */
+  /** Applies an allotment; false if it is not newer than the one in force. */
   apply(allotment: Allotment): boolean {
     this.learnLimits(allotment);
     if (allotment.sequence <= this.sequence) return false;
@@ -34,7 +34,9 @@
     return true;
   }
 
-  /** Another owner counts anew; what runs it is told one by one. */
+  /**
+   * Clears the allotment and its use, for a new owner that counts from zero.
+   */
   reset(): void {
     this.sequence = 0;
     this.permits.clear();
@@ -45,11 +47,11 @@
     this.used.set(endpoint, (this.used.get(endpoint) ?? 0) + 1);
   }
 
-  giveBack(endpoint: EndpointId): void {
+  returnPermit(endpoint: EndpointId): void {
     this.used.set(endpoint, Math.max(0, (this.used.get(endpoint) ?? 0) - 1));
   }
 
-  /** Requests that could start without asking. */
+  /** Number of requests that could start under the allotment. */
   get free(): number {
     let free = 0;
     for (const [endpoint, permits] of this.permits) {
@@ -58,7 +60,7 @@
     return free;
   }
 
-  /** Endpoints where the request may start at once. */
+  /** Endpoints at which the request may start under the allotment. */
   viewsFor(ask: PermitAsk, endpoints: readonly CellEndpoint[]): EndpointView[] {
     const views: EndpointView[] = [];
     for (const endpoint of endpoints) {
@@ -72,7 +74,9 @@
     return views;
   }
 
-  /** An allotment that is said again has the limits of now. */
+  /**
+   * Takes the limits of every allotment: a repeated one has the current limits.
+   */
   private learnLimits({endpoints}: Allotment): void {
     for (const {endpoint, limit} of endpoints) {
       if (limit !== undefined && limit > 0) {
--- a/packages/policy/src/client_fallback.ts
+++ b/packages/policy/src/client_fallback.ts
@@ -1,4 +1,4 @@
-/** Carries out what an instance decides alone while no owner is reached. */
+/** Carries out the decisions of an instance that reaches no owner. */
 
 import type {PermitRefusal} from '@snipestage/types/permits.js';
 import type {CellInput, CellOutput} from './cell_messages.js';
@@ -8,7 +8,7 @@
 import type {PolicyName} from './policy_set.js';
 import type {RandomSource} from './random_source.js';
 
-/** What a {@link ClientFallback} is made from. */
+/** Options of {@link ClientFallback}. */
 export interface ClientFallbackOptions {
   readonly state: ClientState;
   readonly random: RandomSource;
@@ -16,7 +16,7 @@
   readonly maxWaiting: number;
 }
 
-/** Has an owner of its own while it is active. */
+/** Runs a {@link FallbackOwner} while it is active. */
 export class ClientFallback {
   private readonly state: ClientState;
   private owner: FallbackOwner | undefined;
@@ -29,7 +29,9 @@
     return this.owner !== undefined;
   }
 
-  /** Begins with what runs; what waits is to be asked for again. */
+  /**
+   * Starts with the running attempts; waiting requests must be submitted again.
+   */
   begin(nowMs: number): void {
     const {random, policy, maxWaiting} = this.options;
     const {cell, instance, running} = this.state;
@@ -88,10 +90,10 @@
   }
 
   /**
-   * With more instances than permits some have no share of an endpoint at all.
-   * Their requests wait for the next owner, or for a share, rather than be
-   * refused by the dozen whenever an owner is lost; they are asked for again as
-   * lost asks are, and refused at their deadline.
+   * With more instances than permits, some instances have no share of an
+   * endpoint at all. Their requests wait for the next owner or for a share,
+   * instead of being refused in large numbers whenever an owner is lost. They
+   * are submitted again like lost requests, and refused at their deadline.
    */
   private mayRunLater(refusal: PermitRefusal): boolean {
     const waiting = this.state.waiting.get(refusal.attempt);
--- a/packages/policy/src/client_messages.ts
+++ b/packages/policy/src/client_messages.ts
@@ -1,4 +1,4 @@
-/** What a permit client is told and what it has the entry process do. */
+/** Inputs and outputs of a permit client, and its state dump. */
 
 import type {
   AttemptId,
@@ -11,15 +11,17 @@
 import type {CellSnapshot} from './cell_owner.js';
 import type {AllotmentSnapshot} from './client_allotment.js';
 
-/** What the entry process has to do next. */
+/** An action that the entry process has to carry out. */
 export type ClientOutput =
-  /** Send the attempt to the endpoint; a release must follow, however it ends. */
+  /**
+   * Send the attempt to the endpoint; a release must follow, however it ends.
+   */
   | {
       readonly kind: 'start';
       readonly attempt: AttemptId;
       readonly endpoint: EndpointId;
     }
-  /** The attempt has not run and waits no more. */
+  /** The attempt has not run and no longer waits. */
   | {
       readonly kind: 'refused';
       readonly attempt: AttemptId;
@@ -31,7 +33,7 @@
       readonly input: CellInput;
     };
 
-/** What an instance is told of a cell from configuration and membership. */
+/** Changes of a cell in the configuration or the membership. */
 export type CellConfiguration = Extract<
   CellInput,
   {kind: 'endpoints' | 'classes' | 'instance_joined' | 'instance_gone'}
@@ -44,6 +46,6 @@
   readonly waiting: number;
   readonly running: number;
   readonly allotment: AllotmentSnapshot;
-  /** Present while the instance decides alone. */
+  /** Present while the instance decides without an owner. */
   readonly fallback?: CellSnapshot;
 }
--- a/packages/policy/src/client_state.ts
+++ b/packages/policy/src/client_state.ts
@@ -1,4 +1,4 @@
-/** What the parts of a permit client share. */
+/** State that the parts of a permit client share. */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
 import type {AttemptId, CellId, InstanceId} from '@snipestage/types/ids.js';
@@ -12,19 +12,19 @@
 import {ClientAllotment} from './client_allotment.js';
 import type {CellConfiguration, ClientOutput} from './client_messages.js';
 import {RunningAttempts, type AttemptStart} from './running_attempts.js';
-import {WaitingAsks} from './waiting_asks.js';
+import {PendingRequests} from './pending_requests.js';
 
-/** What a {@link ClientState} is made from. */
+/** Options of {@link ClientState}. */
 export interface ClientStateOptions {
   readonly cell: CellId;
   readonly instance: InstanceId;
 }
 
-/** What waits and runs at one cell, who owns it and what is to be told. */
+/** Waiting and running requests of one cell, its owner and pending outputs. */
 export class ClientState {
   readonly cell: CellId;
   readonly instance: InstanceId;
-  readonly waiting = new WaitingAsks();
+  readonly waiting = new PendingRequests();
   readonly running = new RunningAttempts();
   readonly allotment = new ClientAllotment();
   readonly instances = new Set<InstanceId>();
@@ -62,20 +62,20 @@
     return this.running.start(start);
   }
 
-  /** Leave to run, from an owner or from this instance itself. */
+  /** Handles a permit granted by an owner or by this instance itself. */
   granted(grant: PermitGrant, from: InstanceId, nowMs: number): void {
     const request = this.waiting.started(grant.attempt, nowMs);
-    if (request === undefined) return this.giveBackUnused(grant, from);
+    if (request === undefined) return this.returnUnusedPermit(grant, from);
     const {ask} = request;
     const {endpoint} = grant;
     this.start({ask, endpoint, underAllotment: false, nowMs});
   }
 
   /**
-   * A permit for an attempt that has ended, or runs elsewhere because its owner
-   * was silent: kept, it would never come free.
+   * Returns a permit for an attempt that has ended, or that runs elsewhere
+   * because its owner was silent; otherwise the permit would never be freed.
    */
-  giveBackUnused(grant: PermitGrant, from: InstanceId): void {
+  returnUnusedPermit(grant: PermitGrant, from: InstanceId): void {
     const {attempt, endpoint} = grant;
     const inUse = this.running.get(attempt);
     if (inUse?.endpoint === endpoint && from === this.owner) return;
@@ -99,10 +99,10 @@
     this.outputs.push({kind: 'refused', attempt, refusal});
   }
 
-  /** What runs under the allotment is from now on told one by one. */
+  /** Drops the allotment; attempts started under it then count individually. */
   dropAllotment(): void {
     this.allotment.reset();
-    this.running.leaveAllotment();
+    this.running.detachFromAllotment();
   }
 
   isKnown(attempt: AttemptId): boolean {
--- a/packages/policy/src/dispatch_queue.ts
+++ b/packages/policy/src/dispatch_queue.ts
@@ -1,4 +1,4 @@
-/** The order in which requests that wait in a cell are dispatched and shed. */
+/** The order in which waiting requests of a cell are dispatched and shed. */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
 import type {
@@ -9,24 +9,24 @@
 } from '@snipestage/types/ids.js';
 import type {PermitAsk} from '@snipestage/types/permits.js';
 
-/** A request that waits, as the queue keeps it. */
+/** A waiting request in the queue. */
 export interface WaitingRequest {
   readonly ask: PermitAsk;
   readonly instance: InstanceId;
   readonly arrivedAtMs: number;
-  /** When its first token becomes worthless. */
+  /** Time after which the first token is worthless. */
   readonly deadlineAtMs: number;
-  /** Rises with each arrival at the cell. */
+  /** Number that increases with each arrival at the cell. */
   readonly arrival: number;
 }
 
-/** Whom a token was produced for. */
+/** Account and class for which tokens were produced. */
 export interface ServedWork {
   readonly clientAccount: ClientAccountId;
   readonly requestClass: RequestClassId;
 }
 
-/** How much waits in one class, for the state dump. */
+/** Waiting requests of one class, for the state dump. */
 export interface ClassQueueSnapshot {
   readonly requestClass: RequestClassId;
   readonly tier: number;
@@ -40,48 +40,48 @@
 
 /** Rates measured in the cell, for the expected wait. */
 export interface CellRates {
-  /** Requests a second that the cell finishes while busy; 0 if not known. */
+  /** Requests a second that the cell finishes while busy; 0 if unknown. */
   readonly drainPerSecond: number;
   /** Requests a second that arrive in tiers above the given one. */
   arrivalsAbove(tier: number): number;
 }
 
-/** Where requests of a cell wait; how they are ordered is the policy. */
+/** Queue of the waiting requests of a cell; subclasses define its order. */
 export abstract class DispatchQueue {
   abstract readonly size: number;
 
-  /** The request classes in force. */
+  /** Sets the request classes in force. */
   abstract configure(classes: readonly RequestClass[]): void;
 
   abstract has(attempt: AttemptId): boolean;
 
   abstract add(request: WaitingRequest): void;
 
-  /** Takes out a request that is not to be dispatched. */
+  /** Removes a request without dispatching it. */
   abstract remove(attempt: AttemptId): WaitingRequest | undefined;
 
-  /** All that wait, in no order that matters; a copy. */
+  /** A copy of all waiting requests, in no particular order. */
   abstract all(): WaitingRequest[];
 
-  /** All that wait, the next to be dispatched first. */
+  /** All waiting requests, the next to be dispatched first. */
   abstract inDispatchOrder(): Iterable<WaitingRequest>;
 
-  /** Takes out a request that has got a permit; its class has had its turn. */
+  /** Removes a request that got a permit, and counts a turn for its class. */
   abstract dispatch(attempt: AttemptId): void;
 
   /**
-   * Whom to refuse when `incoming` has arrived and the cell is full; `incoming`
-   * itself, unless another one comes first.
+   * Chooses the request to refuse when `incoming` has arrived and the cell is
+   * full: `incoming` itself, unless another one is to be refused before it.
    */
   abstract chooseVictim(incoming: WaitingRequest): WaitingRequest;
 
-  /** Requests that wait and count against the most that may wait. */
+  /** Number of waiting requests that count against the queue limit. */
   abstract countAgainstLimit(): number;
 
-  /** How long `request` would wait, were it added now. */
+  /** Time that `request` would wait if it were added now. */
   abstract expectedWaitMs(request: WaitingRequest, rates: CellRates): number;
 
-  /** Charges tokens to an account; negative ones correct an expectation. */
+  /** Charges tokens to an account; negative ones correct an estimate. */
   abstract charge(work: ServedWork, tokens: number): void;
 
   abstract snapshot(): ClassQueueSnapshot[];
@@ -90,8 +90,8 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * How long a number of requests takes at a rate; 0 when the rate is not known,
- * so that nothing is refused on a guess.
+ * Time that a number of requests takes at a rate; 0 if the rate is unknown, so
+ * that nothing is refused on a guess.
  *
  * @example
  * drainTimeMs(20, 10); // 2000
--- a/packages/policy/src/fallback_owner.ts
+++ b/packages/policy/src/fallback_owner.ts
@@ -1,4 +1,4 @@
-/** Decides for one instance alone while no owner of the cell is reached. */
+/** Decides for a single instance that reaches no owner of the cell. */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
 import type {CellId, EndpointId, InstanceId} from '@snipestage/types/ids.js';
@@ -9,9 +9,9 @@
 import {rankByRendezvous} from './rendezvous.js';
 
 /**
- * This instance's part of a limit. What does not divide goes to the instances
- * that rank first for the endpoint, so that the parts add up to the limit as
- * long as all instances know the same ones.
+ * Share of a limit for the instance `own`. Permits that do not divide evenly go
+ * to the instances that rank first for the endpoint, so that the shares add up
+ * to the limit as long as all instances know of the same instances.
  *
  * @example
  * shareOfLimit(endpoint, 1, ['akl-a-1', 'akl-a-2'], 'akl-a-1'); // 1 or 0
@@ -28,7 +28,7 @@
   return whole + (ranked.indexOf(own) < rest ? 1 : 0);
 }
 
-/** What an instance knows of a cell. */
+/** What an instance knows about a cell. */
 export interface CellView {
   readonly endpoints: readonly CellEndpoint[];
   readonly classes: readonly RequestClass[];
@@ -37,7 +37,7 @@
   readonly learntLimits: ReadonlyMap<EndpointId, number>;
 }
 
-/** What a {@link FallbackOwner} is made from. */
+/** Options of {@link FallbackOwner}. */
 export interface FallbackOwnerOptions {
   readonly cell: CellId;
   readonly instance: InstanceId;
@@ -48,8 +48,8 @@
 }
 
 /**
- * The same order, fairness and refusals as the owner's, over this instance's
- * requests only and its own share of each limit.
+ * Applies the owner's order, fairness and refusals to the requests of this
+ * instance only, within its share of each limit.
  */
 export class FallbackOwner {
   private readonly owner: CellOwner;
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Takes over what is known of the cell, at the start and at each change. */
+  /** Sets what is known about the cell, at the start and after each change. */
   configure(view: CellView, nowMs: number): CellOutput[] {
     const endpoints = view.endpoints.map(endpoint => {
       const learnt = view.learntLimits.get(endpoint.id) ?? Infinity;
--- a/packages/policy/src/fifo_queue.ts
+++ b/packages/policy/src/fifo_queue.ts
@@ -1,4 +1,4 @@
-/** One first-in-first-out queue without tiers: the baseline. */
+/** A first-in-first-out queue without tiers, used by the baselines. */
 
 import type {AttemptId} from '@snipestage/types/ids.js';
 import {
@@ -8,7 +8,7 @@
 } from './dispatch_queue.js';
 
 /**
- * Dispatches in order of arrival and refuses who comes when it is full.
+ * Dispatches in order of arrival and refuses new requests when it is full.
  *
  * @example
  * const queue = new FifoQueue();
@@ -56,7 +56,9 @@
     return this.waiting.size;
   }
 
-  /** Refuses nothing on arrival: what waits too long is dropped then. */
+  /**
+   * 0, so that nothing is refused on arrival, only once it has waited too long.
+   */
   expectedWaitMs(): number {
     return 0;
   }
--- a/packages/policy/src/owner_messages.ts
+++ b/packages/policy/src/owner_messages.ts
@@ -1,39 +1,42 @@
 /**
- * What an instance tells whoever decides at a cell, and tells again in case it
- * was lost; and how it notices that no answer comes.
+ * Messages of an instance to the owner of a cell or to its own fallback, their
+ * repetition in case they were lost, and the detection of a silent owner.
  */
 
 import type {CellInput} from './cell_messages.js';
 import type {ClientFallback} from './client_fallback.js';
 import type {ClientState} from './client_state.js';
-import {OwnerWatch} from './owner_watch.js';
-import type {WaitingAsk} from './waiting_asks.js';
+import {OwnerSilenceDetector} from './owner_silence_detector.js';
+import type {PendingRequest} from './pending_requests.js';
 
 const DEFAULT_OWNER_SILENT_AFTER_MS = 700;
-const DEFAULT_REPEAT_ASK_MS = 300;
+const DEFAULT_REPEAT_REQUEST_MS = 300;
 const DEFAULT_REPEAT_IN_USE_MS = 5000;
 const DEFAULT_PROGRESS_EVERY_MS = 500;
-/** Asks said again in one tick. */
-const MAX_REPEATED_ASKS = 2;
+/** Most requests that are repeated in one tick. */
+const MAX_REPEATED_REQUESTS_PER_TICK = 2;
 
-/** When messages are sent or sent again, and silence is noticed. */
+/** Intervals of messages and their repetition, and the silence time-out. */
 export interface OwnerMessageTimes {
-  /** Silence after what an owner always answers; then it is taken as lost. */
+  /**
+   * Silence after a message that requires an answer until the owner counts as
+   * lost.
+   */
   readonly ownerSilentAfterMs?: number;
-  readonly repeatAskMs?: number;
+  readonly repeatRequestMs?: number;
   readonly repeatInUseMs?: number;
-  /** How often the owner is told of tokens produced. */
+  /** Interval of progress messages to the owner. */
   readonly progressEveryMs?: number;
 }
 
-/** What an {@link OwnerMessages} is made from. */
+/** Options of {@link OwnerMessages}. */
 export interface OwnerMessagesOptions extends OwnerMessageTimes {
   readonly state: ClientState;
   readonly fallback: ClientFallback;
 }
 
 /**
- * Puts the messages into the outputs of the state; sends nothing itself.
+ * Adds the messages to the outputs of the state; sends nothing itself.
  *
  * @example
  * const messages = new OwnerMessages({state, fallback});
@@ -43,9 +46,9 @@
   private readonly state: ClientState;
   private readonly fallback: ClientFallback;
   private readonly times: Required<OwnerMessageTimes>;
-  private readonly watch: OwnerWatch;
-  private toldInUseAtMs = -Infinity;
-  private toldProgressAtMs = -Infinity;
+  private readonly silenceDetector: OwnerSilenceDetector;
+  private inUseSentAtMs = -Infinity;
+  private progressSentAtMs = -Infinity;
 
   constructor(options: OwnerMessagesOptions) {
     this.state = options.state;
@@ -53,77 +56,89 @@
     this.times = {
       ownerSilentAfterMs:
         options.ownerSilentAfterMs ?? DEFAULT_OWNER_SILENT_AFTER_MS,
-      repeatAskMs: options.repeatAskMs ?? DEFAULT_REPEAT_ASK_MS,
+      repeatRequestMs: options.repeatRequestMs ?? DEFAULT_REPEAT_REQUEST_MS,
       repeatInUseMs: options.repeatInUseMs ?? DEFAULT_REPEAT_IN_USE_MS,
       progressEveryMs: options.progressEveryMs ?? DEFAULT_PROGRESS_EVERY_MS,
     };
-    this.watch = new OwnerWatch(this.times.ownerSilentAfterMs);
+    this.silenceDetector = new OwnerSilenceDetector(
+      this.times.ownerSilentAfterMs,
+    );
   }
 
-  /** The owner has said something, or another one has come. */
-  heard(): void {
-    this.watch.heard();
+  /** Records a message from the owner, or a change of owner. */
+  ownerAnswered(): void {
+    this.silenceDetector.ownerAnswered();
   }
 
   isOwnerSilent(nowMs: number): boolean {
-    return this.watch.isSilent(nowMs);
+    return this.silenceDetector.isSilent(nowMs);
   }
 
-  /** Tells whoever decides; the owner too when it is only silent. */
-  tell(input: CellInput, nowMs: number): void {
+  /** Passes a message to the fallback, if active, and to the owner, if any. */
+  notify(input: CellInput, nowMs: number): void {
     this.fallback.receive(input, nowMs);
     this.state.send(input);
   }
 
-  /** Asks whoever decides, and only that one, for leave to run a request. */
-  ask(request: WaitingAsk, nowMs: number): void {
-    request.askedAtMs = nowMs;
+  /**
+   * Requests a permit from the fallback if it is active, else from the owner.
+   */
+  ask(request: PendingRequest, nowMs: number): void {
+    request.lastSentAtMs = nowMs;
     const remainingMs = Math.max(0, request.deadlineAtMs - nowMs);
     const input: CellInput = {kind: 'ask', ask: {...request.ask, remainingMs}};
     if (this.fallback.isActive) this.fallback.receive(input, nowMs);
     else this.state.send(input);
   }
 
-  /** Asks for all that waits, once another than before decides. */
-  askForAll(nowMs: number): void {
+  /**
+   * Requests permits for all waiting requests, after a change of who decides.
+   */
+  requestAllWaiting(nowMs: number): void {
     for (const request of this.state.waiting.all()) this.ask(request, nowMs);
   }
 
   /**
-   * A lost ask would wait for ever; and an owner that has nothing to say can't
-   * be told from a dead one unless it is asked something that it answers.
+   * Repeats requests for permits, as a lost one would wait for ever. An owner
+   * always answers a repeated request, so that one that has nothing to send can
+   * be distinguished from a dead one.
    */
-  repeatAsks(nowMs: number): void {
-    const {repeatAskMs} = this.times;
+  repeatRequests(nowMs: number): void {
+    const {repeatRequestMs} = this.times;
     const due = this.state.waiting
       .all()
-      .filter(({askedAtMs}) => nowMs - askedAtMs >= repeatAskMs);
-    for (const request of due.slice(0, MAX_REPEATED_ASKS)) {
-      this.watch.asked(nowMs);
+      .filter(({lastSentAtMs}) => nowMs - lastSentAtMs >= repeatRequestMs);
+    for (const request of due.slice(0, MAX_REPEATED_REQUESTS_PER_TICK)) {
+      this.silenceDetector.replyExpected(nowMs);
       this.ask(request, nowMs);
     }
   }
 
-  tellInUse(nowMs: number): void {
-    this.toldInUseAtMs = nowMs;
-    this.watch.asked(nowMs);
+  sendInUse(nowMs: number): void {
+    this.inUseSentAtMs = nowMs;
+    this.silenceDetector.replyExpected(nowMs);
     this.state.sendInUse();
   }
 
-  /** More often while the owner is silent, so that its return is noticed. */
+  /**
+   * Repeats more often during the fallback, so that an owner's return is
+   * noticed.
+   */
   repeatInUse(nowMs: number): void {
-    const {repeatAskMs, repeatInUseMs} = this.times;
-    const everyMs = this.fallback.isActive ? repeatAskMs : repeatInUseMs;
-    if (nowMs - this.toldInUseAtMs >= everyMs) this.tellInUse(nowMs);
+    const {repeatRequestMs, repeatInUseMs} = this.times;
+    const everyMs = this.fallback.isActive ? repeatRequestMs : repeatInUseMs;
+    if (nowMs - this.inUseSentAtMs >= everyMs) this.sendInUse(nowMs);
   }
 
-  /** Does nothing until it is time again, so that it may be called often. */
-  tellProgress(nowMs: number): void {
-    if (nowMs - this.toldProgressAtMs < this.times.progressEveryMs) return;
-    this.toldProgressAtMs = nowMs;
+  /**
+   * Does nothing until the interval has passed, so that it may be called often.
+   */
+  sendProgress(nowMs: number): void {
+    if (nowMs - this.progressSentAtMs < this.times.progressEveryMs) return;
+    this.progressSentAtMs = nowMs;
     const progress = this.state.running.takeProgress();
     if (progress.length === 0) return;
     const {instance} = this.state;
-    this.tell({kind: 'progress', instance, progress}, nowMs);
+    this.notify({kind: 'progress', instance, progress}, nowMs);
   }
 }
--- a/packages/policy/src/permit_book.ts
+++ b/packages/policy/src/permit_book.ts
@@ -1,4 +1,6 @@
-/** Who holds which permit of a cell, and what its instances may start unasked. */
+/**
+ * Permits that are held in a cell, and the allotments sent to its instances.
+ */
 
 import type {
   AttemptId,
@@ -8,7 +10,7 @@
   RequestClassId,
 } from '@snipestage/types/ids.js';
 
-/** How far an attempt had come after how long. */
+/** Tokens that an attempt had produced after some time. */
 export interface TokenMark {
   readonly outputTokens: number;
   readonly elapsedMs: number;
@@ -26,12 +28,12 @@
   /** Counted within the allotment of its instance. */
   underAllotment: boolean;
   readonly sinceMs: number;
-  /** The instance has told that it holds it. */
+  /** The instance has reported that it holds the permit. */
   confirmed: boolean;
-  /** Tokens that its client account was charged so far, weighted. */
+  /** Weighted tokens that the client account was charged so far. */
   chargedTokens: number;
   outputTokens: number;
-  /** From where the time between tokens is measured; absent before any. */
+  /** Mark from which the time between tokens is measured; absent before any. */
   measuredFrom?: TokenMark;
 }
 
@@ -46,16 +48,19 @@
 
 /**
  * Counts a permit as reserved from the moment an instance may use it until the
- * owner knows that it no longer can. An allotment that was made smaller still
- * counts whole until the instance has applied the smaller one: counted at once,
- * its permits would go to others while the instance, which has not heard yet,
- * starts under the old one, and the endpoint would run above its limit.
+ * owner knows that it no longer can. An allotment that was reduced still counts
+ * in full until the instance has applied the smaller one. Otherwise its permits
+ * would go to others while the instance, which has not received the change yet,
+ * starts requests under the old one, and the endpoint would exceed its limit.
  */
 export class PermitBook {
   private readonly held = new Map<AttemptId, HeldPermit>();
   private readonly allotments = new Map<InstanceId, SentAllotment[]>();
   private lastSequence = 0;
-  /** Kept until a permit or an allotment changes; asked for far more often. */
+  /**
+   * Cached until a permit or an allotment changes, as it is read far more
+   * often.
+   */
   private reservedCounts: PermitCounts | undefined;
   private inFlightCounts: PermitCounts | undefined;
 
@@ -64,7 +69,9 @@
     this.forgetCounts();
   }
 
-  /** The instance has told again under what it holds a permit. */
+  /**
+   * Records that the instance reported a permit, and if under its allotment.
+   */
   confirm(permit: HeldPermit, underAllotment: boolean): void {
     permit.confirmed = true;
     permit.underAllotment = underAllotment;
@@ -91,7 +98,7 @@
     );
   }
 
-  /** Records an allotment that is being sent; gives its sequence. */
+  /** Records an allotment that is being sent; returns its sequence. */
   allot(instance: InstanceId, permits: PermitCounts, nowMs: number): number {
     const sequence = ++this.lastSequence;
     const sent = this.allotments.get(instance) ?? [];
@@ -101,7 +108,10 @@
     return sequence;
   }
 
-  /** The instance keeps to this allotment; older ones no longer count. */
+  /**
+   * Records that the instance has applied an allotment; older ones no longer
+   * count.
+   */
   applied(instance: InstanceId, sequence: number): void {
     const sent = this.allotments.get(instance) ?? [];
     const newer = sent.filter(allotment => allotment.sequence >= sequence);
@@ -114,12 +124,14 @@
     return this.allotments.get(instance)?.at(-1);
   }
 
-  /** The latest has not been applied yet. */
+  /** Whether the latest of several allotments has not been applied yet. */
   isPending(instance: InstanceId): boolean {
     return (this.allotments.get(instance)?.length ?? 0) > 1;
   }
 
-  /** What an instance may have running under any allotment it may know. */
+  /**
+   * Most attempts an instance may run under any allotment it may have applied.
+   */
   ceiling(instance: InstanceId, endpoint: EndpointId): number {
     const sent = this.allotments.get(instance) ?? [];
     return sent.reduce(
@@ -128,7 +140,7 @@
     );
   }
 
-  /** Permits of each endpoint that are in use or may be without asking. */
+  /** Permits of each endpoint that are in use or allotted. */
   reserved(): PermitCounts {
     this.reservedCounts ??= this.countReserved();
     return this.reservedCounts;
@@ -147,11 +159,11 @@
 
   private countReserved(): PermitCounts {
     const reserved = new Map<EndpointId, number>();
-    const unasked = this.countUnasked();
+    const runningUnderAllotments = this.countRunningUnderAllotments();
     for (const {endpoint, underAllotment} of this.held.values()) {
       if (!underAllotment) add(reserved, endpoint, 1);
     }
-    for (const [instance, counts] of unasked) {
+    for (const [instance, counts] of runningUnderAllotments) {
       for (const [endpoint, running] of counts) {
         const ceiling = this.ceiling(instance, endpoint);
         add(reserved, endpoint, Math.max(running, ceiling));
@@ -172,8 +184,13 @@
     this.forgetCounts();
   }
 
-  /** Running under allotments, by instance and endpoint; 0 where only allotted. */
-  private countUnasked(): Map<InstanceId, Map<EndpointId, number>> {
+  /**
+   * Attempts under allotments, by instance and endpoint; 0 where only allotted.
+   */
+  private countRunningUnderAllotments(): Map<
+    InstanceId,
+    Map<EndpointId, number>
+  > {
     const counts = new Map<InstanceId, Map<EndpointId, number>>();
     const at = (instance: InstanceId) => {
       const known = counts.get(instance) ?? new Map<EndpointId, number>();
--- a/packages/policy/src/permit_client.ts
+++ b/packages/policy/src/permit_client.ts
@@ -1,4 +1,4 @@
-/** The entry instance's side of a cell: from a request to leave to run it. */
+/** The entry instance's side of a cell: obtains permits for its requests. */
 
 import type {AttemptId, CellId, InstanceId} from '@snipestage/types/ids.js';
 import type {
@@ -22,14 +22,16 @@
   type PolicySet,
 } from './policy_set.js';
 import type {RandomSource} from './random_source.js';
-import type {WaitingAsk} from './waiting_asks.js';
+import type {PendingRequest} from './pending_requests.js';
 
 const DEFAULT_MAX_WAITING = 2000;
-/** How long past its deadline a request waits for the owner's refusal. */
-const LATE_REFUSAL_MS = 1000;
+/**
+ * How long after its deadline a request still waits for the owner's refusal.
+ */
+const REFUSAL_GRACE_MS = 1000;
 const LATE_RETRY_AFTER_MS = 1000;
 
-/** What a {@link PermitClient} is made from. */
+/** Options of {@link PermitClient}. */
 export interface PermitClientOptions extends OwnerMessageTimes {
   readonly cell: CellId;
   /** This entry instance. */
@@ -40,9 +42,10 @@
 }
 
 /**
- * Starts requests under the instance's allotment, asks the owner otherwise, and
- * decides alone, over its own share, while no owner answers. What runs keeps
- * running through every change of owner.
+ * Starts requests under the instance's allotment, and otherwise requests
+ * permits from the owner. While no owner answers it decides alone, within its
+ * own share of each limit. Running attempts continue through every change of
+ * owner.
  *
  * @example
  * const client = new PermitClient({cell, instance, random: Math.random});
@@ -56,7 +59,7 @@
   private readonly state: ClientState;
   private readonly fallback: ClientFallback;
   private readonly messages: OwnerMessages;
-  /** Which life of the owner the allotment is from. */
+  /** Incarnation of the owner that sent the allotment. */
   private ownerTerm: number | undefined;
 
   constructor(options: PermitClientOptions) {
@@ -75,7 +78,7 @@
   }
 
   /**
-   * Takes in the endpoints, classes and live instances of the cell.
+   * Applies a change of the endpoints, classes or live instances of the cell.
    *
    * @example
    * client.configure({kind: 'instance_gone', instance}, nowMs);
@@ -87,8 +90,8 @@
   }
 
   /**
-   * A request wants to run. Ends in `start` or `refused`, at once or later,
-   * unless it is withdrawn.
+   * Requests a permit. Results in `start` or `refused`, at once or later,
+   * unless the request is withdrawn.
    *
    * @example
    * const outputs = client.request(ask, performance.now());
@@ -96,26 +99,28 @@
   request(ask: PermitAsk, nowMs: number): ClientOutput[] {
     const {state} = this;
     if (state.isKnown(ask.attempt)) return [];
-    if (this.startUnasked(ask, nowMs)) state.waiting.startedAtOnce(nowMs);
-    else this.askFor(state.waiting.add(ask, nowMs), nowMs);
+    if (this.tryStartUnderAllotment(ask, nowMs))
+      state.waiting.startedAtOnce(nowMs);
+    else this.requestPermit(state.waiting.add(ask, nowMs), nowMs);
     return state.takeOutputs();
   }
 
   /**
-   * The caller has hung up or its key was withdrawn while the request waited.
+   * Withdraws a waiting request whose caller hung up or whose key was
+   * withdrawn.
    *
    * @example
    * client.withdraw(attempt, nowMs);
    */
   withdraw(attempt: AttemptId, nowMs: number): ClientOutput[] {
     if (this.state.waiting.remove(attempt) !== undefined) {
-      this.messages.tell({kind: 'withdraw', attempt}, nowMs);
+      this.messages.notify({kind: 'withdraw', attempt}, nowMs);
     }
     return this.state.takeOutputs();
   }
 
   /**
-   * Takes a decision of an owner.
+   * Handles a decision of an owner.
    *
    * @example
    * client.receive(output, ownerInstance, nowMs);
@@ -123,11 +128,11 @@
   receive(output: CellOutput, from: InstanceId, nowMs: number): ClientOutput[] {
     const {state} = this;
     if (from !== state.owner) {
-      if (output.kind === 'grant') state.giveBackUnused(output.grant, from);
+      if (output.kind === 'grant') state.returnUnusedPermit(output.grant, from);
       return state.takeOutputs();
     }
-    this.messages.heard();
-    if (this.fallback.isActive) this.joinOwner(nowMs);
+    this.messages.ownerAnswered();
+    if (this.fallback.isActive) this.switchToOwner(nowMs);
     if (output.kind === 'grant') state.granted(output.grant, from, nowMs);
     if (output.kind === 'refuse') state.refused(output.refusal);
     if (output.kind === 'allot') this.allotted(output.allotment, nowMs);
@@ -135,7 +140,7 @@
   }
 
   /**
-   * An attempt that was started has ended, however it ended.
+   * Releases the permit of a started attempt, however the attempt ended.
    *
    * @example
    * client.release(release, nowMs);
@@ -144,60 +149,60 @@
     const {allotment, instance, running} = this.state;
     const permit = running.end(release.attempt);
     if (permit === undefined) return [];
-    if (permit.underAllotment) allotment.giveBack(permit.endpoint);
-    this.messages.tell({kind: 'release', instance, release}, nowMs);
+    if (permit.underAllotment) allotment.returnPermit(permit.endpoint);
+    this.messages.notify({kind: 'release', instance, release}, nowMs);
     return this.state.takeOutputs();
   }
 
   /**
-   * Tokens that running attempts have produced so far. Told to the owner from
-   * time to time, so that it may be called for each token.
+   * Records the tokens that running attempts have produced so far. They are
+   * sent to the owner at intervals, so that this may be called for each token.
    *
    * @example
    * client.progress([{attempt, outputTokens: 40}], nowMs);
    */
   progress(all: readonly AttemptProgress[], nowMs: number): ClientOutput[] {
     this.state.running.progress(all, nowMs);
-    this.messages.tellProgress(nowMs);
+    this.messages.sendProgress(nowMs);
     return this.state.takeOutputs();
   }
 
   /**
-   * Another instance owns the cell, or the same one anew after a restart or a
-   * broken connection; `null` when none can be reached.
+   * Sets the owner of the cell: another instance, or the same one again after a
+   * restart or a broken connection; `null` if none can be reached.
    *
    * @example
    * client.ownerChanged(null, nowMs); // decides alone from now on
    */
   ownerChanged(owner: InstanceId | null, nowMs: number): ClientOutput[] {
-    const alreadyAlone = owner === null && this.fallback.isActive;
+    const isFallbackActive = owner === null && this.fallback.isActive;
     this.state.owner = owner;
     this.ownerTerm = undefined;
-    this.messages.heard();
-    if (alreadyAlone) return [];
+    this.messages.ownerAnswered();
+    if (isFallbackActive) return [];
     this.state.dropAllotment();
-    if (owner === null) this.decideAlone(nowMs);
-    else this.joinOwner(nowMs);
+    if (owner === null) this.startFallback(nowMs);
+    else this.switchToOwner(nowMs);
     return this.state.takeOutputs();
   }
 
   /**
-   * Lets time pass.
+   * Advances the time: sends what is due, and handles time-outs.
    *
    * @example
    * setInterval(() => carryOut(client.tick(performance.now())), 50);
    */
   tick(nowMs: number): ClientOutput[] {
-    this.messages.tellProgress(nowMs);
+    this.messages.sendProgress(nowMs);
     this.fallback.tick(nowMs);
     this.refuseLate(nowMs);
-    this.messages.repeatAsks(nowMs);
-    if (this.state.owner !== null) this.remindOwner(nowMs);
+    this.messages.repeatRequests(nowMs);
+    if (this.state.owner !== null) this.checkOwner(nowMs);
     return this.state.takeOutputs();
   }
 
   /**
-   * What a request that is sent to this cell now has to expect.
+   * Load that a request sent to this cell now would meet.
    *
    * @example
    * chooseCell({loads: clients.map(client => client.load(nowMs)), random});
@@ -226,10 +231,11 @@
   }
 
   /**
-   * Only while nothing of this instance waits: what waits has asked, and an
-   * equal or lower tier must not pass it.
+   * Starts a request under the allotment if possible; true if started. Only
+   * done while no request of this instance waits, since a request of an equal
+   * or lower tier must not overtake a waiting one.
    */
-  private startUnasked(ask: PermitAsk, nowMs: number): boolean {
+  private tryStartUnderAllotment(ask: PermitAsk, nowMs: number): boolean {
     const {allotment, endpoints, instance, owner, waiting} = this.state;
     if (this.fallback.isActive || owner === null) return false;
     if (ask.suspect || waiting.size > 0) return false;
@@ -243,58 +249,62 @@
     return true;
   }
 
-  private askFor(request: WaitingAsk, nowMs: number): void {
-    const nobodyDecides = this.state.owner === null && !this.fallback.isActive;
-    if (nobodyDecides) this.decideAlone(nowMs);
+  private requestPermit(request: PendingRequest, nowMs: number): void {
+    const needsFallback = this.state.owner === null && !this.fallback.isActive;
+    if (needsFallback) this.startFallback(nowMs);
     else this.messages.ask(request, nowMs);
   }
 
   private allotted(allotment: Allotment, nowMs: number): void {
-    this.noticeTerm(allotment, nowMs);
+    this.detectOwnerRestart(allotment, nowMs);
     if (!this.state.allotment.apply(allotment)) return;
     const {instance} = this.state;
     const {sequence} = allotment;
-    this.messages.tell({kind: 'allotment_applied', instance, sequence}, nowMs);
+    this.messages.notify(
+      {kind: 'allotment_applied', instance, sequence},
+      nowMs,
+    );
   }
 
   /**
-   * The owner's process has restarted under its old name, which the membership
-   * may not show. Its new life counts allotments from the start and knows nothing
-   * of what runs; unnoticed, its allotments would be taken for old ones.
+   * Detects that the owner's process has restarted under the same instance id,
+   * which the membership may not show. The new incarnation numbers allotments
+   * from the start and does not know what runs; without this check its
+   * allotments would be taken for old ones.
    */
-  private noticeTerm({term}: Allotment, nowMs: number): void {
+  private detectOwnerRestart({term}: Allotment, nowMs: number): void {
     const restarted = this.ownerTerm !== undefined && this.ownerTerm !== term;
     this.ownerTerm = term;
     if (!restarted) return;
     this.state.dropAllotment();
-    this.joinOwner(nowMs);
+    this.switchToOwner(nowMs);
   }
 
-  private joinOwner(nowMs: number): void {
+  private switchToOwner(nowMs: number): void {
     this.fallback.end();
-    this.messages.tellInUse(nowMs);
-    this.messages.askForAll(nowMs);
+    this.messages.sendInUse(nowMs);
+    this.messages.requestAllWaiting(nowMs);
   }
 
-  private decideAlone(nowMs: number): void {
+  private startFallback(nowMs: number): void {
     this.state.dropAllotment();
     this.fallback.begin(nowMs);
-    this.messages.askForAll(nowMs);
+    this.messages.requestAllWaiting(nowMs);
   }
 
-  /** Says again what may have been lost, and notices an owner that is silent. */
-  private remindOwner(nowMs: number): void {
+  /** Repeats what may have been lost, and detects a silent owner. */
+  private checkOwner(nowMs: number): void {
     this.messages.repeatInUse(nowMs);
     if (this.fallback.isActive) return;
-    if (this.messages.isOwnerSilent(nowMs)) this.decideAlone(nowMs);
+    if (this.messages.isOwnerSilent(nowMs)) this.startFallback(nowMs);
   }
 
-  /** Refuses what its owner should have refused, and did not. */
+  /** Refuses requests that the owner should have refused and did not. */
   private refuseLate(nowMs: number): void {
     for (const {ask, deadlineAtMs} of this.state.waiting.all()) {
-      if (nowMs < deadlineAtMs + LATE_REFUSAL_MS) continue;
+      if (nowMs < deadlineAtMs + REFUSAL_GRACE_MS) continue;
       const {attempt} = ask;
-      this.messages.tell({kind: 'withdraw', attempt}, nowMs);
+      this.messages.notify({kind: 'withdraw', attempt}, nowMs);
       this.state.refused({
         attempt,
         reason: 'deadline_unreachable',
--- a/packages/policy/src/permit_reports.ts
+++ b/packages/policy/src/permit_reports.ts
@@ -1,4 +1,4 @@
-/** Takes in what instances tell of the permits that they hold. */
+/** Handles the reports of instances on the permits that they hold. */
 
 import type {InstanceId} from '@snipestage/types/ids.js';
 import type {PermitInUse, PermitRelease} from '@snipestage/types/permits.js';
@@ -7,16 +7,16 @@
 import type {HeldPermit, TokenMark} from './permit_book.js';
 import {chargeProgress, settleCharge} from './token_costs.js';
 
-/** How long a grant may be under way before it is sent again. */
+/** How long a grant may be in transit before it is sent again. */
 const REGRANT_AFTER_MS = 1000;
-/** The least time over which the time between tokens is measured. */
-const MIN_MEASURED_MS = 200;
+/** Shortest span over which the time between tokens is measured. */
+const MIN_MEASURED_SPAN_MS = 200;
 
 /** Keeps permits, charges and measurements in step with the reports. */
 export class PermitReports {
   constructor(private readonly state: CellState) {}
 
-  /** A second release of one attempt finds nothing and changes nothing. */
+  /** Frees a permit; a second release of the same attempt changes nothing. */
   release(release: PermitRelease, nowMs: number): void {
     const {state} = this;
     const permit = state.free(release.attempt);
@@ -48,34 +48,36 @@
     }
   }
 
-  /** The whole list of what an instance holds. */
+  /** Handles the full list of the permits that an instance holds. */
   inUse(
     instance: InstanceId,
     permits: readonly PermitInUse[],
     nowMs: number,
   ): void {
     const listed = new Set(permits.map(({attempt}) => attempt));
-    for (const permit of permits) this.holdTold(instance, permit, nowMs);
+    for (const permit of permits)
+      this.recordReportedPermit(instance, permit, nowMs);
     for (const permit of this.state.book.heldBy(instance)) {
-      if (!listed.has(permit.attempt)) this.missing(permit, nowMs);
+      if (!listed.has(permit.attempt)) this.handleUnlistedPermit(permit, nowMs);
     }
     this.state.send(...this.state.allotments.repeat(instance, nowMs));
   }
 
-  /** Begun under an allotment. */
+  /** Handles attempts that an instance started under its allotment. */
   started(
     instance: InstanceId,
     permits: readonly PermitInUse[],
     nowMs: number,
   ): void {
-    for (const permit of permits) this.holdTold(instance, permit, nowMs);
+    for (const permit of permits)
+      this.recordReportedPermit(instance, permit, nowMs);
     this.state.counters.startedUnasked += permits.length;
   }
 
   /**
-   * Time between tokens since the last mark. It is taken by the instance's clock
-   * and over a minimum of time: reports that were held up arrive together, and by
-   * their arrival the second would show an engine of endless speed.
+   * Measures the time between tokens since the last mark, by the instance's
+   * clock and over a minimum span. Delayed reports arrive together, and by
+   * their times of arrival the second would show an infinitely fast engine.
    */
   private measure(permit: HeldPermit, mark: TokenMark, nowMs: number): void {
     if (mark.outputTokens === 0) return;
@@ -86,14 +88,17 @@
     }
     const tokens = mark.outputTokens - from.outputTokens;
     const spanMs = mark.elapsedMs - from.elapsedMs;
-    if (tokens <= 0 || spanMs < MIN_MEASURED_MS) return;
+    if (tokens <= 0 || spanMs < MIN_MEASURED_SPAN_MS) return;
     permit.measuredFrom = mark;
     const targets = this.state.targetsOf(permit.requestClass);
     const limit = this.state.endpoints.limitOf(permit.endpoint);
     limit?.progressed(spanMs / tokens, targets, nowMs);
   }
 
-  /** What the permit was held beyond the stream is the way there and back. */
+  /**
+   * Takes the time a permit was held beyond the stream as the transit both
+   * ways.
+   */
   private meterRelease(
     permit: HeldPermit,
     release: PermitRelease,
@@ -106,16 +111,17 @@
     const restMs = betweenMs * Math.max(0, release.outputTokens - 1);
     const streamMs = release.firstTokenMs + restMs;
     const oneWayMs = Math.max(0, heldMs - streamMs) / 2;
-    this.state.meter.firstTokenCame(release.firstTokenMs + oneWayMs);
+    this.state.meter.firstTokenObserved(release.firstTokenMs + oneWayMs);
   }
 
   /**
-   * The instance does not list a permit that it should hold. Either its release
-   * was lost, then the permit would never come free; or the grant is still under
-   * way or was lost, then it is sent again and the instance, if it has no use
-   * for it any more, gives it back.
+   * Handles a permit that its instance should hold but does not list. If the
+   * instance knew of it, the release was lost, and the permit is freed, since
+   * it would never be otherwise. If not, the grant is in transit or was lost:
+   * after a while it is sent again, and an instance that no longer needs it
+   * returns it.
    */
-  private missing(permit: HeldPermit, nowMs: number): void {
+  private handleUnlistedPermit(permit: HeldPermit, nowMs: number): void {
     if (permit.underAllotment || permit.confirmed) {
       this.state.free(permit.attempt);
       return;
@@ -125,32 +131,32 @@
     }
   }
 
-  /** Counts a permit that the instance says it holds. */
-  private holdTold(
+  /** Records a permit that the instance reports as held. */
+  private recordReportedPermit(
     instance: InstanceId,
-    told: PermitInUse,
+    reportedPermit: PermitInUse,
     nowMs: number,
   ): void {
-    this.state.removeWaiting(told.attempt);
-    const known = this.state.book.get(told.attempt);
-    if (known !== undefined && known.endpoint === told.endpoint) {
-      const {underAllotment = known.underAllotment} = told;
+    this.state.removeWaiting(reportedPermit.attempt);
+    const known = this.state.book.get(reportedPermit.attempt);
+    if (known !== undefined && known.endpoint === reportedPermit.endpoint) {
+      const {underAllotment = known.underAllotment} = reportedPermit;
       this.state.book.confirm(known, underAllotment);
       return;
     }
     const permit: HeldPermit = {
-      attempt: told.attempt,
+      attempt: reportedPermit.attempt,
       instance,
-      endpoint: told.endpoint,
-      clientAccount: told.clientAccount,
-      requestClass: told.requestClass,
-      tier: told.tier,
-      suspect: told.suspect ?? false,
-      underAllotment: told.underAllotment ?? false,
+      endpoint: reportedPermit.endpoint,
+      clientAccount: reportedPermit.clientAccount,
+      requestClass: reportedPermit.requestClass,
+      tier: reportedPermit.tier,
+      suspect: reportedPermit.suspect ?? false,
+      underAllotment: reportedPermit.underAllotment ?? false,
       sinceMs: nowMs,
       confirmed: true,
       chargedTokens: 0,
-      outputTokens: told.outputTokens,
+      outputTokens: reportedPermit.outputTokens,
     };
     this.state.hold(permit, nowMs);
     chargeProgress(this.state.policy.queue, permit);
--- a/packages/policy/src/running_attempts.ts
+++ b/packages/policy/src/running_attempts.ts
@@ -4,7 +4,7 @@
 import type {PermitAsk, PermitInUse} from '@snipestage/types/permits.js';
 import type {AttemptProgress} from './cell_messages.js';
 
-/** Where an attempt runs, and whether it was asked for. */
+/** Start of an attempt at an endpoint, by a grant or under the allotment. */
 export interface AttemptStart {
   readonly ask: PermitAsk;
   readonly endpoint: EndpointId;
@@ -15,11 +15,11 @@
 interface RunningAttempt {
   permit: PermitInUse;
   readonly startedAtMs: number;
-  /** When the last tokens were told. */
+  /** When the last progress was recorded. */
   progressAtMs: number;
 }
 
-/** Keeps what an owner, and a new one after it, has to be told. */
+/** Keeps what is reported to the owner, and again to a new one. */
 export class RunningAttempts {
   private readonly attempts = new Map<AttemptId, RunningAttempt>();
   private readonly progressed = new Set<AttemptId>();
@@ -60,7 +60,7 @@
     return permit;
   }
 
-  /** Takes in tokens produced by attempts that still run. */
+  /** Records tokens that running attempts have produced. */
   progress(all: readonly AttemptProgress[], nowMs: number): void {
     for (const {attempt, outputTokens} of all) {
       const running = this.attempts.get(attempt);
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Attempts that have produced tokens since this was last asked. */
+  /** Returns the attempts that have produced tokens since the last call. */
   takeProgress(): AttemptProgress[] {
     const progress: AttemptProgress[] = [];
     for (const attempt of this.progressed) {
@@ -85,8 +85,8 @@
     return progress;
   }
 
-  /** The allotment they began under is void: each counts by itself. */
-  leaveAllotment(): void {
+  /** Marks all attempts as no longer under an allotment, as theirs is void. */
+  detachFromAllotment(): void {
     for (const running of this.attempts.values()) {
       running.permit = {...running.permit, underAllotment: false};
     }
--- a/packages/policy/src/simulation/cell_simulation.ts
+++ b/packages/policy/src/simulation/cell_simulation.ts
@@ -29,7 +29,7 @@
 const STEP_MS = 5;
 const TICK_MS = 50;
 /** For what came last to finish. */
-const DRAIN_MS = 60_000;
+const MAX_DRAIN_MS = 60_000;
 const PROGRESS_EVERY_MS = 50;
 
 /** Something that happens to the cell at an instant. */
@@ -106,12 +106,12 @@
   run(): RequestResult[] {
     this.configure();
     const {durationMs} = this.options;
-    for (let nowMs = 0; nowMs <= durationMs + DRAIN_MS; nowMs += STEP_MS) {
+    for (let nowMs = 0; nowMs <= durationMs + MAX_DRAIN_MS; nowMs += STEP_MS) {
       if (nowMs > durationMs && this.live.size === 0) break;
       this.applyEvents(nowMs);
-      this.arrive(nowMs);
+      this.submitDueArrivals(nowMs);
       this.runEngines(nowMs);
-      if (nowMs % PROGRESS_EVERY_MS === 0) this.tellProgress(nowMs);
+      if (nowMs % PROGRESS_EVERY_MS === 0) this.reportProgress(nowMs);
       if (nowMs % TICK_MS === 0) this.tick(nowMs);
     }
     for (const {arrival} of this.live.values()) {
@@ -129,11 +129,11 @@
         client.configure({kind: 'instance_joined', instance}, 0);
       }
     }
-    this.tellOwner(0);
+    this.announceOwner(0);
     for (let round = 0; round < 4; round++) this.tick(0);
   }
 
-  private tellOwner(nowMs: number): void {
+  private announceOwner(nowMs: number): void {
     for (const client of this.clients.values()) {
       this.carryOut(client.ownerChanged(this.owningInstance, nowMs), nowMs);
     }
@@ -152,7 +152,7 @@
   private applyEvent(event: SimulatedEvent, nowMs: number): void {
     switch (event.kind) {
       case 'slow':
-        this.engines.get(event.endpoint)!.slowness = event.factor;
+        this.engines.get(event.endpoint)!.stepTimeFactor = event.factor;
         return;
       case 'crash':
         for (const lost of this.engines.get(event.endpoint)!.crash()) {
@@ -167,11 +167,11 @@
         return;
       case 'replace_owner':
         this.owner.replace(nowMs);
-        this.tellOwner(nowMs);
+        this.announceOwner(nowMs);
     }
   }
 
-  private arrive(nowMs: number): void {
+  private submitDueArrivals(nowMs: number): void {
     const {arrivals} = this.options;
     while (this.nextArrival < arrivals.length) {
       const arrival = arrivals[this.nextArrival];
@@ -231,7 +231,7 @@
     );
   }
 
-  private tellProgress(nowMs: number): void {
+  private reportProgress(nowMs: number): void {
     const byInstance = new Map<InstanceId, EngineAttempt[]>();
     for (const engine of this.engines.values()) {
       for (const running of engine.attempts()) {
--- a/packages/policy/src/simulation/scenarios.ts
+++ b/packages/policy/src/simulation/scenarios.ts
@@ -14,17 +14,17 @@
   readonly watched: WatchedAccounts;
 }
 
-const COUNTER = makeClass(0, {
+const TOP_CLASS = makeClass(0, {
   firstTokenTargetMs: 1000,
   betweenTokensTargetMs: 50,
   guaranteedShare: 0.05,
 });
-const QUOTE = makeClass(1, {
+const MIDDLE_CLASS = makeClass(1, {
   firstTokenTargetMs: 3000,
   betweenTokensTargetMs: 60,
   guaranteedShare: 0.05,
 });
-const SUMMARY = makeClass(2, {
+const LOW_CLASS = makeClass(2, {
   firstTokenTargetMs: 15_000,
   betweenTokensTargetMs: 200,
   deadlineMs: 60_000,
@@ -32,67 +32,67 @@
 });
 
 /** Four engines do about 10 such requests a second within their targets. */
-const ORDINARY: readonly TrafficSource[] = [
-  ...shops(COUNTER, 3),
-  ...shops(QUOTE, 3),
-  ...shops(SUMMARY, 2),
+const ORDINARY_TRAFFIC: readonly TrafficSource[] = [
+  ...createAccountSources(TOP_CLASS, 3),
+  ...createAccountSources(MIDDLE_CLASS, 3),
+  ...createAccountSources(LOW_CLASS, 2),
 ];
 const BURST = {factor: 10, fromMs: 20_000, untilMs: 40_000};
-const LARGE_SHOP = 'account-1';
+const FLOODING_ACCOUNT = 'account-1';
 const FLOOD_PER_SECOND = 30;
 
-const TOP: WatchedAccounts = {requestClass: COUNTER.id};
+const TOP_CLASS_ACCOUNTS: WatchedAccounts = {requestClass: TOP_CLASS.id};
 
 /** All scenarios, by name. */
 export const SCENARIOS: readonly Scenario[] = [
-  {name: 'ordinary', sources: ORDINARY, watched: TOP},
+  {name: 'ordinary', sources: ORDINARY_TRAFFIC, watched: TOP_CLASS_ACCOUNTS},
   {
     name: 'burst_middle',
-    sources: ORDINARY.map(source => burstIf(source, QUOTE)),
-    watched: {requestClass: QUOTE.id},
+    sources: ORDINARY_TRAFFIC.map(source => burstIf(source, MIDDLE_CLASS)),
+    watched: {requestClass: MIDDLE_CLASS.id},
   },
   {
     name: 'burst_low',
-    sources: ORDINARY.map(source => burstIf(source, SUMMARY)),
-    watched: {requestClass: SUMMARY.id},
+    sources: ORDINARY_TRAFFIC.map(source => burstIf(source, LOW_CLASS)),
+    watched: {requestClass: LOW_CLASS.id},
   },
   {
     name: 'flood_top',
-    sources: [...ORDINARY, flood(COUNTER)],
-    watched: {requestClass: COUNTER.id, except: LARGE_SHOP},
+    sources: [...ORDINARY_TRAFFIC, flood(TOP_CLASS)],
+    watched: {requestClass: TOP_CLASS.id, except: FLOODING_ACCOUNT},
   },
   {
     name: 'flood_low',
-    sources: [...ORDINARY, flood(SUMMARY)],
-    watched: {requestClass: SUMMARY.id, except: LARGE_SHOP},
+    sources: [...ORDINARY_TRAFFIC, flood(LOW_CLASS)],
+    watched: {requestClass: LOW_CLASS.id, except: FLOODING_ACCOUNT},
   },
   {
     name: 'slow_engine',
-    sources: ORDINARY,
+    sources: ORDINARY_TRAFFIC,
     events: [
       {kind: 'slow', atMs: 15_000, endpoint: 'e2', factor: 5},
       {kind: 'slow', atMs: 45_000, endpoint: 'e2', factor: 1},
     ],
-    watched: TOP,
+    watched: TOP_CLASS_ACCOUNTS,
   },
   {
     name: 'crashes',
-    sources: ORDINARY,
+    sources: ORDINARY_TRAFFIC,
     events: [20_000, 21_000, 22_000, 23_000, 24_000].map(atMs => ({
       kind: 'crash',
       atMs,
       endpoint: 'e3',
     })),
-    watched: TOP,
+    watched: TOP_CLASS_ACCOUNTS,
   },
   {
     name: 'long_prompts',
-    sources: ORDINARY.map(source => ({
+    sources: ORDINARY_TRAFFIC.map(source => ({
       ...source,
       meanPromptTokens: 4000,
       sharedPrefixes: 20,
     })),
-    watched: TOP,
+    watched: TOP_CLASS_ACCOUNTS,
   },
   ownerLost('owner_frozen', {kind: 'thaw_owner', atMs: 35_000}),
   ownerLost('owner_killed', {kind: 'replace_owner', atMs: 30_000}),
@@ -100,13 +100,16 @@
 
 /** The owner stands still from within a burst until something happens. */
 function ownerLost(name: string, then: SimulatedEvent): Scenario {
-  const sources = ORDINARY.map(source => burstIf(source, QUOTE));
+  const sources = ORDINARY_TRAFFIC.map(source => burstIf(source, MIDDLE_CLASS));
   const freeze: SimulatedEvent = {kind: 'freeze_owner', atMs: 25_000};
-  return {name, sources, events: [freeze, then], watched: TOP};
+  return {name, sources, events: [freeze, then], watched: TOP_CLASS_ACCOUNTS};
 }
 
 /** Accounts of one class, each with the same small rate. */
-function shops(requestClass: RequestClass, perSecond: number): TrafficSource[] {
+function createAccountSources(
+  requestClass: RequestClass,
+  perSecond: number,
+): TrafficSource[] {
   const names = [1, 2, 3, 4, 5].map(number => `account-${number}`);
   return names.map(account => ({
     account,
@@ -124,9 +127,9 @@
 
 function flood(requestClass: RequestClass): TrafficSource {
   return {
-    ...ORDINARY[0],
+    ...ORDINARY_TRAFFIC[0],
     requestClass,
-    account: LARGE_SHOP,
+    account: FLOODING_ACCOUNT,
     perSecond: FLOOD_PER_SECOND,
   };
 }
--- a/packages/policy/src/simulation/simulated_engine.ts
+++ b/packages/policy/src/simulation/simulated_engine.ts
@@ -17,12 +17,12 @@
   /** Starts of prompts that it remembers, the latest used. */
   readonly cachedPrefixes: number;
   /** What is left of a prompt's time if its start is remembered. */
-  readonly cachedPromptPart: number;
+  readonly cachedPromptShare: number;
 }
 
 /**
- * Steps of 25 ms at a batch of 8, 34 at 16 and 73 at 32: tokens a second grow up
- * to the knee and fall a little beyond it.
+ * Steps of 25 ms at a batch of 8, 34 at 16 and 73 at 32: tokens a second grow
+ * up to the knee and fall a little beyond it.
  */
 export const DEFAULT_SPEED: EngineSpeed = {
   baseStepMs: 15,
@@ -32,7 +32,7 @@
   perPromptTokenMs: 0.05,
   maxBatch: 32,
   cachedPrefixes: 6,
-  cachedPromptPart: 0.1,
+  cachedPromptShare: 0.1,
 };
 
 /** What one attempt has come to. */
@@ -50,7 +50,7 @@
 /** Produces one token for each request of its batch in a step. */
 export class SimulatedEngine {
   /** Steps take this many times as long. */
-  slowness = 1;
+  stepTimeFactor = 1;
   private readonly batch = new Map<AttemptId, EngineAttempt>();
   private readonly queue: EngineAttempt[] = [];
   private joinedPromptTokens = 0;
@@ -97,7 +97,9 @@
       this.joinedPromptTokens += this.readPrompt(next);
     }
     this.stepEndsAtMs =
-      this.batch.size > 0 ? atMs + this.stepMs() * this.slowness : undefined;
+      this.batch.size > 0
+        ? atMs + this.stepMs() * this.stepTimeFactor
+        : undefined;
   }
 
   /** Tokens of the prompt that have to be read. */
@@ -109,7 +111,7 @@
       const [oldest] = this.prefixes;
       this.prefixes.delete(oldest);
     }
-    return cached ? promptTokens * this.speed.cachedPromptPart : promptTokens;
+    return cached ? promptTokens * this.speed.cachedPromptShare : promptTokens;
   }
 
   private stepMs(): number {
--- a/packages/policy/src/standing_allotments.ts
+++ b/packages/policy/src/standing_allotments.ts
@@ -1,4 +1,4 @@
-/** When instances may start requests without asking, and how many. */
+/** Allots permits that instances may use without requesting them. */
 
 import type {EndpointId, InstanceId} from '@snipestage/types/ids.js';
 import {planAllotments, type InstanceUse} from './allotment_plan.js';
@@ -7,39 +7,45 @@
 import type {PermitBook, PermitCounts} from './permit_book.js';
 import type {CellId} from '@snipestage/types/ids.js';
 
-/** Kept back for instances that have used up their allotment and ask. */
-const ASKED_PART = 0.25;
-/** A change smaller than this is not worth a message. */
-const MIN_CHANGE = 2;
-const MIN_CHANGE_PART = 0.25;
+/**
+ * Share kept back for instances that used up their allotment and request more.
+ */
+const UNALLOTTED_SHARE = 0.25;
+/**
+ * A change smaller than this and than {@link MIN_CHANGE_SHARE} of the allotment
+ * is not worth a message.
+ */
+const MIN_CHANGE_COUNT = 2;
+const MIN_CHANGE_SHARE = 0.25;
 const DEFAULT_OPEN_AFTER_MS = 500;
 const DEFAULT_PLAN_EVERY_MS = 250;
 const DEFAULT_RESEND_AFTER_MS = 1000;
 /** Weight of the newest count in the mean use of an instance. */
 const USE_WEIGHT = 0.1;
 
-/** What {@link StandingAllotments} are made from. */
+/** Options of {@link StandingAllotments}. */
 export interface StandingAllotmentsOptions {
   readonly cell: CellId;
-  /** Tells this owner's allotments from those of another life. */
+  /** Distinguishes this owner's allotments from those of other incarnations. */
   readonly term: number;
   readonly book: PermitBook;
   readonly endpoints: CellEndpoints;
-  /** How long nothing must have waited before permits are allotted again. */
+  /** How long no request must have waited before permits are allotted again. */
   readonly openAfterMs?: number;
   readonly planEveryMs?: number;
   readonly resendAfterMs?: number;
 }
 
 /**
- * Divides free permits while nothing waits. As soon as something waits in the
- * cell it takes back all that is not in use, for an instance that starts under
- * an allotment can't know that a higher tier waits at another one.
+ * Divides free permits among instances while no request waits. As soon as one
+ * waits in the cell, all permits that are not in use are taken back, since an
+ * instance that starts requests under an allotment can't know that a request of
+ * a higher tier waits at another instance.
  */
 export class StandingAllotments {
   private readonly options: Required<StandingAllotmentsOptions>;
   private readonly recentUse = new Map<InstanceId, number>();
-  private waitedAtMs = -Infinity;
+  private lastWaitingAtMs = -Infinity;
   private plannedAtMs = -Infinity;
 
   constructor(options: StandingAllotmentsOptions) {
@@ -63,14 +69,14 @@
     return [...this.recentUse.keys()];
   }
 
-  /** Something waits: takes back what has been allotted. */
+  /** Takes back all allotments because a request waits. */
   close(nowMs: number): CellOutput[] {
-    this.waitedAtMs = nowMs;
+    this.lastWaitingAtMs = nowMs;
     const outputs: CellOutput[] = [];
     for (const instance of this.instances()) {
       const {permits} = this.options.book.latest(instance) ?? {};
       if (permits === undefined || total(permits) === 0) continue;
-      outputs.push(this.send(instance, emptied(permits), nowMs));
+      outputs.push(this.send(instance, withZeroCounts(permits), nowMs));
     }
     return outputs;
   }
@@ -78,14 +84,14 @@
   tick(nowMs: number): CellOutput[] {
     this.measureUse();
     const outputs = this.resendLost(nowMs);
-    const quietMs = nowMs - this.waitedAtMs;
+    const quietMs = nowMs - this.lastWaitingAtMs;
     if (quietMs < this.options.openAfterMs) return outputs;
     if (nowMs - this.plannedAtMs < this.options.planEveryMs) return outputs;
     this.plannedAtMs = nowMs;
     return [...outputs, ...this.replan(nowMs)];
   }
 
-  /** The allotment in force, said again to one who may have missed it. */
+  /** Repeats the allotment in force to an instance that may have missed it. */
   repeat(instance: InstanceId, nowMs: number): CellOutput[] {
     const latest = this.options.book.latest(instance);
     const sequence = latest?.sequence ?? 0;
@@ -99,17 +105,17 @@
     const plan = planAllotments(this.divisible(nowMs), this.uses());
     const outputs: CellOutput[] = [];
     for (const [instance, target] of plan) {
-      const permits = this.affordable(instance, target, free);
+      const permits = this.limitGrowth(instance, target, free);
       const current = book.latest(instance)?.permits;
       if (!isWorthSending(current, permits, free)) continue;
-      this.spend(instance, permits, free);
+      this.deductGrowth(instance, permits, free);
       outputs.push(this.send(instance, permits, nowMs));
     }
     return outputs;
   }
 
-  /** Grows no further than permits that no one else may be using. */
-  private affordable(
+  /** Limits growth to permits that no other instance may be using. */
+  private limitGrowth(
     instance: InstanceId,
     target: PermitCounts,
     free: PermitCounts,
@@ -123,7 +129,7 @@
     return permits;
   }
 
-  private spend(
+  private deductGrowth(
     instance: InstanceId,
     permits: PermitCounts,
     free: Map<EndpointId, number>,
@@ -135,7 +141,7 @@
     }
   }
 
-  /** Limit less all that is reserved; negative where the limit has fallen. */
+  /** Limit minus reserved permits; negative where the limit has fallen. */
   private freePermits(nowMs: number): Map<EndpointId, number> {
     const reserved = this.options.book.reserved();
     const free = this.options.endpoints.allottable(nowMs);
@@ -154,7 +160,7 @@
     const allottable = this.options.endpoints.allottable(nowMs);
     return [...allottable].map(([endpoint, limit]) => {
       const left = Math.max(0, limit - (granted.get(endpoint) ?? 0));
-      return {endpoint, permits: Math.floor(left * (1 - ASKED_PART))};
+      return {endpoint, permits: Math.floor(left * (1 - UNALLOTTED_SHARE))};
     });
   }
 
@@ -176,7 +182,10 @@
     }
   }
 
-  /** Without this, permits of an allotment lost on the way stay reserved. */
+  /**
+   * Sends lost allotments again, as their permits would stay reserved
+   * otherwise.
+   */
   private resendLost(nowMs: number): CellOutput[] {
     const {book, resendAfterMs} = this.options;
     return this.instances().flatMap(instance => {
@@ -226,14 +235,14 @@
     if (after === before) continue;
     const overLimit = (free.get(endpoint) ?? -1) < 0;
     if (overLimit && after < before) return true;
-    const change = Math.max(MIN_CHANGE, before * MIN_CHANGE_PART);
+    const change = Math.max(MIN_CHANGE_COUNT, before * MIN_CHANGE_SHARE);
     if (Math.abs(after - before) >= change) return true;
     if (before === 0 || after === 0) return true;
   }
   return false;
 }
 
-function emptied(permits: PermitCounts): PermitCounts {
+function withZeroCounts(permits: PermitCounts): PermitCounts {
   return new Map([...permits.keys()].map(endpoint => [endpoint, 0]));
 }
 
--- a/packages/policy/src/test_fixtures.ts
+++ b/packages/policy/src/test_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builders that tests and measurements of a cell share. */
+/** Builders shared by the tests and simulations of a cell. */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
 import {
@@ -18,7 +18,7 @@
 export const FIRST = brandAs<InstanceId>('akl-a-1');
 export const SECOND = brandAs<InstanceId>('akl-a-2');
 
-/** A cell's endpoint, regular and built for four requests if nothing is said. */
+/** An endpoint of a cell; by default regular with a concurrency of four. */
 export function makeEndpoint(
   id: string,
   changes: Partial<CellEndpoint> = {},
@@ -49,7 +49,7 @@
   };
 }
 
-/** An ask of the first instance in the class `tier-<tier>`. */
+/** A permit request of the first instance in the class `tier-<tier>`. */
 export function makeAsk(
   attempt: string,
   changes: Partial<Omit<PermitAsk, 'clientAccount'>> & {
@@ -75,7 +75,7 @@
   };
 }
 
-/** The release of an attempt that went well. */
+/** The release of a successful attempt. */
 export function makeRelease(
   attempt: string,
   endpoint: string,
@@ -94,14 +94,14 @@
   };
 }
 
-/** Attempts granted, in order. */
+/** Attempts that were granted, in order. */
 export function grantedOf(outputs: readonly CellOutput[]): string[] {
   return outputs.flatMap(output =>
     output.kind === 'grant' ? [output.grant.attempt] : [],
   );
 }
 
-/** Attempts refused with their reasons, in order. */
+/** Attempts that were refused, with their reasons, in order. */
 export function refusedOf(outputs: readonly CellOutput[]): string[] {
   return outputs.flatMap(output =>
     output.kind === 'refuse'
--- a/packages/policy/src/tiered_choice.ts
+++ b/packages/policy/src/tiered_choice.ts
@@ -1,4 +1,4 @@
-/** The product's endpoint choice. */
+/** Endpoint choice of the `tiered` policy. */
 
 import type {PermitAsk} from '@snipestage/types/permits.js';
 import {
@@ -9,19 +9,23 @@
 import type {RandomSource} from './random_source.js';
 import {rankByRendezvous} from './rendezvous.js';
 
-/** An endpoint gets no work by affinity beyond this times the mean load. */
+/**
+ * Factor of its fair share of the load up to which affinity selects an
+ * endpoint.
+ */
 const AFFINITY_LOAD_BOUND = 1.5;
 
-/** What a {@link TieredChoice} is made from. */
+/** Options of {@link TieredChoice}. */
 export interface TieredChoiceOptions {
   readonly affinityLoadBound?: number;
 }
 
 /**
- * Requests that may run on cheap endpoints go there first. Of those left, the
- * endpoint that has seen the prompt's start before, unless it is loaded beyond a
- * bound (consistent hashing with bounded loads, Mirrokni et al. 2016), else the
- * better of two taken at random.
+ * Prefers cheap endpoints for requests that may run there. Among the candidates
+ * it chooses the endpoint that has probably seen the prompt's prefix before, or
+ * the next in rank if that one's load exceeds a bound (consistent hashing with
+ * bounded loads, Mirrokni et al. 2016); without a prefix hash, the better of
+ * two taken at random.
  */
 export class TieredChoice extends EndpointChoice {
   private readonly bound: number;
@@ -57,7 +61,9 @@
   }
 }
 
-/** The top tier does not find out for others whether an endpoint recovered. */
+/**
+ * Keeps the top tier off endpoints whose recovery is being probed, if possible.
+ */
 function spareProbes(
   ask: PermitAsk,
   candidates: readonly EndpointView[],
--- a/packages/policy/src/tiered_queue.ts
+++ b/packages/policy/src/tiered_queue.ts
@@ -1,6 +1,7 @@
 /**
- * The product's order: exact tiers, a small guaranteed share of the dispatches
- * for each class, fair between the client accounts of a class.
+ * Queue of the `tiered` policy: strict tiers, a small guaranteed share of the
+ * dispatches for each class, and fairness between the client accounts of a
+ * class.
  */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
@@ -15,15 +16,15 @@
   type WaitingRequest,
 } from './dispatch_queue.js';
 
-/** All guaranteed shares together get no more than this of the dispatches. */
-const MAX_GUARANTEED_TOTAL = 0.5;
-/** What a class that could not be served may save up. */
-const MAX_CREDIT = 2;
-/** Sums of shares such as 0.1 fall a little short of whole numbers. */
-const ROUNDING = 1e-9;
+/** Most of the dispatches that all guaranteed shares together may get. */
+const MAX_TOTAL_GUARANTEED_SHARE = 0.5;
+/** Most dispatches that a class that could not be served may save up. */
+const MAX_CREDIT_DISPATCHES = 2;
+/** Sums of shares such as 0.1 fall slightly short of whole numbers. */
+const CREDIT_ROUNDING_TOLERANCE = 1e-9;
 
 /**
- * Orders by tier; a class whose guaranteed share has added up to a whole
+ * Orders by tier; a class whose guaranteed share has accrued to a whole
  * dispatch goes first for one turn.
  *
  * @example
@@ -47,7 +48,10 @@
       queue.guaranteedShare = guaranteedShare;
       total += guaranteedShare;
     }
-    this.shareScale = Math.min(1, MAX_GUARANTEED_TOTAL / Math.max(total, 1e-6));
+    this.shareScale = Math.min(
+      1,
+      MAX_TOTAL_GUARANTEED_SHARE / Math.max(total, 1e-6),
+    );
     this.forgetRemoved(classes);
   }
 
@@ -76,7 +80,7 @@
   *inDispatchOrder(): Iterable<WaitingRequest> {
     const byTier = this.waitingClasses();
     const owed = byTier
-      .filter(queue => queue.credit >= 1 - ROUNDING)
+      .filter(queue => queue.credit >= 1 - CREDIT_ROUNDING_TOLERANCE)
       .sort((a, b) => b.credit - a.credit);
     if (owed.length > 0) yield* owed[0].inDispatchOrder();
     for (const queue of byTier) {
@@ -106,9 +110,9 @@
   }
 
   /**
-   * One place of each class with a guaranteed share is on top of the common
-   * ones: were it one of them, either the class would starve while the queue is
-   * full of higher tiers, or a higher one would be refused on its account.
+   * One waiting request of each class with a guaranteed share is not counted.
+   * If it were, either the class would starve while the queue is full of higher
+   * tiers, or a request of a higher tier would be refused in its favour.
    */
   countAgainstLimit(): number {
     let reserved = 0;
@@ -119,8 +123,10 @@
   }
 
   /**
-   * The class is served either from what higher tiers leave over, after those of
-   * them that wait, or by its guaranteed share, whichever is sooner.
+   * The class is served either from the capacity that higher tiers leave over,
+   * after the waiting requests of higher and equal tiers, or by its guaranteed
+   * share, whichever is sooner. `Infinity` if neither serves it, 0 if the drain
+   * rate is unknown.
    */
   expectedWaitMs(request: WaitingRequest, rates: CellRates): number {
     const {clientAccount, requestClass, tier} = request.ask;
@@ -154,14 +160,17 @@
 
   private accrue(queue: ClassQueue): void {
     const share = queue.guaranteedShare * this.shareScale;
-    queue.credit = Math.min(MAX_CREDIT, queue.credit + share);
+    queue.credit = Math.min(MAX_CREDIT_DISPATCHES, queue.credit + share);
   }
 
   private reserved(queue: ClassQueue): WaitingRequest | undefined {
     return queue.guaranteedShare > 0 ? queue.oldest() : undefined;
   }
 
-  /** Classes with something waiting; of one tier, the longest wait first. */
+  /**
+   * Classes with waiting requests by tier; within a tier, the longest wait
+   * first.
+   */
   private waitingClasses(): ClassQueue[] {
     const queues = [...this.classes.values()].filter(({size}) => size > 0);
     return queues.sort((a, b) => a.tier - b.tier || arrival(a) - arrival(b));
--- a/packages/policy/src/virtual_counters.ts
+++ b/packages/policy/src/virtual_counters.ts
@@ -6,23 +6,23 @@
 
 import type {ClientAccountId} from '@snipestage/types/ids.js';
 
-/** Counters that fall idle beyond this many are forgotten, the lowest first. */
-const MAX_IDLE_COUNTERS = 512;
+/** Most idle counters that are kept; beyond, the lowest is forgotten. */
+const MAX_IDLE_COUNTER_COUNT = 512;
 
 /** The counters of the client accounts of one request class. */
 export class VirtualCounters {
   private readonly counters = new Map<ClientAccountId, number>();
   private readonly active = new Set<ClientAccountId>();
-  private lastLeft: ClientAccountId | undefined;
+  private lastDeactivated: ClientAccountId | undefined;
 
   get(account: ClientAccountId): number {
     return this.counters.get(account) ?? 0;
   }
 
   /**
-   * An account begins to wait. One that was away keeps no credit from that time:
-   * its counter is lifted to the lowest of those that wait, else to that of the
-   * last one that waited.
+   * Marks an account as waiting. An account that was idle keeps no credit from
+   * that time: its counter is raised to the lowest of the waiting accounts, or,
+   * if none waits, to that of the last one that waited.
    */
   activate(account: ClientAccountId): void {
     if (this.active.has(account)) return;
@@ -31,18 +31,19 @@
     this.active.add(account);
   }
 
-  /** The account has nothing waiting any more. */
+  /** Marks an account as having no waiting requests. */
   deactivate(account: ClientAccountId): void {
     if (!this.active.delete(account)) return;
-    this.lastLeft = account;
+    this.lastDeactivated = account;
     this.forgetIdle();
   }
 
   /**
-   * Adds tokens produced for the account; negative ones correct an expectation.
-   * A correction does not take it below the least served of those that wait:
-   * what it was charged may since have been covered by a lift, and it would jump
-   * ahead of accounts that have waited all along.
+   * Adds tokens produced for the account; negative ones correct an estimate. A
+   * correction does not lower the counter below the least served of the other
+   * waiting accounts: a raise in {@link activate} may since have covered the
+   * charge, and the account would jump ahead of accounts that have waited all
+   * along.
    */
   charge(account: ClientAccountId, tokens: number): void {
     const before = this.get(account);
@@ -63,7 +64,7 @@
     return least;
   }
 
-  /** Accounts that wait, the least served first. */
+  /** Waiting accounts, the least served first. */
   inOrder(): ClientAccountId[] {
     const accounts = [...this.active];
     return accounts.sort((a, b) => this.get(a) - this.get(b));
@@ -79,15 +80,18 @@
   }
 
   private lastCounter(): number {
-    return this.lastLeft === undefined ? 0 : this.get(this.lastLeft);
+    return this.lastDeactivated === undefined
+      ? 0
+      : this.get(this.lastDeactivated);
   }
 
   private forgetIdle(): void {
     const idle = this.counters.size - this.active.size;
-    if (idle <= MAX_IDLE_COUNTERS) return;
+    if (idle <= MAX_IDLE_COUNTER_COUNT) return;
     let lowest: ClientAccountId | undefined;
     for (const account of this.counters.keys()) {
-      if (this.active.has(account) || account === this.lastLeft) continue;
+      if (this.active.has(account) || account === this.lastDeactivated)
+        continue;
       if (lowest === undefined || this.get(account) < this.get(lowest)) {
         lowest = account;
       }
