--- a/packages/policy/src/allotment_plan.test.ts
+++ b/packages/policy/src/allotment_plan.test.ts
@@ -14,7 +14,7 @@
   );
 }
 
-test('half goes in equal parts and half by recent use', t => {
+test('half is divided equally and half by recent use', t => {
   const [busy, idle] = instances(2);
   const plan = planAllotments(
     [{endpoint: ENDPOINT, permits: 16}],
@@ -44,9 +44,9 @@
   t.pass();
 });
 
-test('the shares of instances that decide alone add up to the limit', t => {
-  // No owner is reached by anyone, and each instance goes on by itself. Were
-  // their shares to add up to more, the engine would run above its limit.
+test('the shares of instances without an owner add up to the limit', t => {
+  // No instance reaches an owner, and each decides alone. If their shares added
+  // up to more than the limit, the engine would run above it.
   fc.assert(
     fc.property(fc.integer({min: 1, max: 63}), fc.nat(64), (count, limit) => {
       const all = instances(count);
--- a/packages/policy/src/cell_owner.test.ts
+++ b/packages/policy/src/cell_owner.test.ts
@@ -32,7 +32,7 @@
   return owner;
 }
 
-test('the lowest tier number is granted first, whoever came first', t => {
+test('the lowest tier number is granted first, whatever came first', t => {
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 1})]);
   const first = makeAsk('running');
   owner.receive({kind: 'ask', ask: first}, 0);
@@ -50,7 +50,7 @@
   t.deepEqual(order, ['waits-0', 'waits-1', 'waits-2']);
 });
 
-test('an ask that comes again is answered alike, not granted twice', t => {
+test('a repeated request gets the same answer and no second permit', t => {
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 2})]);
   const ask = makeAsk('one');
   const before = owner.receive({kind: 'ask', ask}, 0);
@@ -77,9 +77,9 @@
   ]);
 });
 
-test('what cannot be served in time is refused at once', t => {
+test('a request that cannot be served in time is refused at once', t => {
   // A burst fills the queue. Without this a caller would wait until its
-  // deadline only to hear that it was never served.
+  // deadline only to be refused then.
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 1})]);
   owner.receive({kind: 'ask', ask: makeAsk('a')}, 0);
   const release = makeRelease('a', 'e1');
@@ -104,8 +104,9 @@
 });
 
 test('reports that arrive together do not make an engine look fast', t => {
-  // Frames are held up and come all at once. By their arrival no time passed
-  // between the tokens, limits rose to the utmost and all streams slowed down.
+  // Delayed frames arrive all at once. Measured by their arrival, no time
+  // passes between the tokens; limits then rise to the maximum and all streams
+  // slow down.
   const owner = createOwner([makeEndpoint('e1')]);
   const ask = makeAsk('a');
   owner.receive({kind: 'ask', ask}, 0);
@@ -121,9 +122,9 @@
   t.is(betweenTokensMs, 100);
 });
 
-test('a list that does not say so leaves a permit within its allotment', t => {
-  // The field is lost on the way. Counted besides the allotment that it is part
-  // of, each running request would take two permits of its endpoint.
+test('a permit listed without underAllotment stays within its allotment', t => {
+  // The field is lost in transit. If the permit counted in addition to the
+  // allotment it is part of, each running request would take two permits.
   const owner = createOwner([makeEndpoint('e1')]);
   const permit = {...makeAsk('a'), endpoint: makeEndpoint('e1').id};
   const startedPermit = {...permit, outputTokens: 0, underAllotment: true};
@@ -137,7 +138,7 @@
 });
 
 test('a suspect runs alone', t => {
-  // A request was in flight where an endpoint crashed. Were it to run beside
+  // A request was in flight when its endpoint crashed. If it ran next to
   // others, the next crash would end their streams as well.
   const owner = createOwner([makeEndpoint('e1'), makeEndpoint('e2')]);
   const ask = makeAsk('suspect', {suspect: true});
@@ -154,7 +155,7 @@
   t.is(owner.snapshot(1).waiting, 2);
 });
 
-test('a new owner makes itself known to the instances that join', t => {
+test('a new owner sends a message to each instance that joins', t => {
   const owner = createOwner([makeEndpoint('e1')], {graceMs: 1500});
   const joined = {kind: 'instance_joined', instance: FIRST} as const;
   t.deepEqual(
@@ -163,9 +164,9 @@
   );
 });
 
-test('a new owner grants nothing until the instances have told what runs', t => {
+test('a new owner grants nothing until all instances report what runs', t => {
   // The former owner is lost while its endpoint is full. Granting at once would
-  // double the load there and break every latency target.
+  // double the load of the endpoint and miss every latency target.
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 1})], {
     graceMs: 1500,
   });
--- a/packages/policy/src/cell_properties.test.ts
+++ b/packages/policy/src/cell_properties.test.ts
@@ -99,7 +99,7 @@
   },
 );
 
-/** Three instances and an owner, with frames that go out once a tick. */
+/** Three instances and an owner, with messages sent in one frame per tick. */
 class World {
   readonly running = new Map<
     string,
@@ -153,7 +153,7 @@
     }
   }
 
-  /** Lets all that waits and runs come to its end under a sound owner. */
+  /** Lets all waiting and running requests end under a working owner. */
   settle(): void {
     this.frozen = false;
     if (this.owningInstance === null) this.changeOwner(0);
@@ -292,7 +292,7 @@
       }
       const {attempt} = output;
       if (!this.waiting.delete(attempt)) {
-        throw new Error(`${attempt} had ended and got ${output.kind}`);
+        throw new Error(`${attempt} got ${output.kind} but was not waiting`);
       }
       if (output.kind === 'refused') this.end(attempt, 'refused');
       else this.running.set(attempt, {instance, endpoint: output.endpoint});
@@ -314,10 +314,10 @@
     .length;
 }
 
-test('with one owner no endpoint ever runs above its limit', t => {
-  // Allotments shrink and grow, grants and releases cross on the way, and
-  // owners follow each other without knowing what runs. Above its limit an
-  // engine slows down for all that it runs.
+test('with one owner at a time no endpoint exceeds its limit', t => {
+  // Allotments shrink and grow, grants and releases cross in transit, and
+  // owners replace each other without knowing what runs. An engine above its
+  // limit slows down all its requests.
   fc.assert(
     fc.property(
       fc.array(faultFreeStep, {maxLength: 120, size: 'max'}),
@@ -337,7 +337,7 @@
   t.pass();
 });
 
-test('nothing is shed while a lower tier waits that could give way', t => {
+test('no request is shed while one of a lower tier could be shed', t => {
   fc.assert(
     fc.property(
       fc.array(ordinaryStep, {maxLength: 120, size: 'max'}),
@@ -348,7 +348,7 @@
           if (output.refusal.reason !== 'overloaded') return;
           const tier = Number(output.refusal.attempt[1]);
           for (const queue of world.snapshot().queue) {
-            // One place of each of these classes is on top of the common ones.
+            // One waiting request of each of these classes is protected.
             const own = CLASSES[queue.tier].guaranteedShare > 0 ? 1 : 0;
             if (queue.tier > tier && queue.waiting > own) holds = false;
           }
@@ -362,10 +362,10 @@
   t.pass();
 });
 
-test('no permit is lost and no request forgotten through any change', t => {
-  // Owners die, freeze, thaw and follow each other, frames are lost, callers
-  // hang up. A permit lost for good would make the endpoint serve one request
-  // less; a request forgotten would keep its caller waiting for ever.
+test('no permit or request is lost through changes of owner and faults', t => {
+  // Owners are lost, freeze, thaw and replace each other, frames are lost,
+  // callers hang up. A lost permit would make the endpoint serve one request
+  // less for good; a lost request would keep its caller waiting for ever.
   fc.assert(
     fc.property(fc.array(anyStep, {maxLength: 120, size: 'max'}), steps => {
       const world = new World(() => {});
--- a/packages/policy/src/cells.test.ts
+++ b/packages/policy/src/cells.test.ts
@@ -37,7 +37,7 @@
   );
 }
 
-test('at the sizes of today every instance works with every cell', t => {
+test('in a small data centre every instance uses every cell', t => {
   const cells = plan(8, 3);
   t.deepEqual(
     cells.map(({endpoints, instances}) => [endpoints.length, instances.length]),
@@ -48,7 +48,7 @@
   );
 });
 
-test('at the size in two years an instance works with few, evenly', t => {
+test('in a large data centre each cell has few instances, evenly', t => {
   const cells = plan(100, 63);
   t.is(cells.length, 25);
   t.true(cells.every(({endpoints}) => endpoints.length === 4));
@@ -56,14 +56,14 @@
   t.true(Math.max(...perCell) <= 11 && Math.min(...perCell) >= 7);
 });
 
-test('few endpoints change cells when one goes', t => {
+test('few endpoints change cells when one is removed', t => {
   const before = placesOf(plan(40, 9));
   const after = placesOf(plan(39, 9));
   const moved = [...after].filter(([id, cell]) => before.get(id) !== cell);
   t.true(moved.length <= 8, `${moved.length} of 39 moved`);
 });
 
-test('a lost owner is replaced and the other cells keep theirs', t => {
+test('a lost owner is replaced and a live one keeps its cell', t => {
   const [cell] = plan(4, 3);
   const [others] = plan(4, 2);
   t.truthy(cell.owner);
@@ -72,7 +72,7 @@
   t.is(others.owner === cell.owner, survives);
 });
 
-test('a request goes to the shortest wait, then where its prefix was', t => {
+test('a request goes to the shortest wait, then by its prefix', t => {
   const load = (cell: string, expectedWaitMs: number, freePermits: number) => ({
     cell: brandAs<CellId>(cell),
     expectedWaitMs,
--- a/packages/policy/src/permit_client.test.ts
+++ b/packages/policy/src/permit_client.test.ts
@@ -44,7 +44,7 @@
   });
 }
 
-test('a request starts unasked within the allotment, and asks beyond it', t => {
+test('a request within the allotment starts, and one beyond it asks', t => {
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   client.receive(allot(1, 1), SECOND, 0);
@@ -55,7 +55,7 @@
   t.deepEqual(describe(client.request(makeAsk('b'), 2)), ['ask b']);
 });
 
-test('an allotment that shrinks stops new starts and nothing that runs', t => {
+test('a reduced allotment stops new starts but no running attempt', t => {
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   client.receive(allot(3, 1), SECOND, 0);
@@ -69,9 +69,9 @@
   t.is(client.snapshot(4).allotment.sequence, 2);
 });
 
-test('a new owner is told what runs and asked again for what waits', t => {
-  // The owner's process is killed. A caller whose request waited there must not
-  // wait until its deadline, and one whose stream runs must notice nothing.
+test('a new owner gets the running attempts and the waiting requests', t => {
+  // The owner's process is killed. Requests that waited there must not wait
+  // until their deadline, and running streams must not be affected.
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   client.receive(allot(1, 1), SECOND, 0);
@@ -81,10 +81,10 @@
   t.deepEqual(describe(outputs), ['in_use 1', 'ask waits']);
 });
 
-test('an owner that restarted under its name is told all anew', t => {
-  // The owner's process dies and another takes its name before anyone notices.
-  // Its allotments count from one again; taken for old ones they would be passed
-  // over, and each request would have to ask.
+test('an owner restarted under the same id gets the full state again', t => {
+  // The owner's process dies, and another starts under its id before the loss
+  // is detected. Its allotments are numbered from one again; if they were taken
+  // for old ones and ignored, each request would have to ask the owner.
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   const ofTerm = (term: number, sequence: number) => {
@@ -99,9 +99,9 @@
   t.is(client.snapshot(2).allotment.sequence, 1);
 });
 
-test('without an owner the instance runs its own share of the limit', t => {
-  // All other instances are cut off. Requests go on, but no more of them than
-  // this instance's part of the endpoint, for the others do the same.
+test('without an owner the instance runs up to its share of the limit', t => {
+  // All other instances are cut off. Requests continue within this instance's
+  // share of the endpoint's limit only, as the others do the same.
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   client.request(makeAsk('a'), 1);
@@ -114,9 +114,9 @@
   ]);
 });
 
-test('without an owner what exceeds the share waits by default', t => {
-  // An option left open once took the place of its default, so that a cut-off
-  // instance refused each request that could not start at once.
+test('without an owner requests beyond the share wait by default', t => {
+  // An option that is undefined must not replace its default: a cut-off
+  // instance then refuses each request that can't start at once.
   const client = createClient();
   client.ownerChanged(null, 0);
   for (const attempt of ['a', 'b', 'c', 'd']) {
@@ -125,8 +125,8 @@
   t.is(client.snapshot(1).waiting, 2);
 });
 
-test('an owner that answers nothing is done without until it is heard', t => {
-  // The owner's process is frozen, and the membership has not noticed yet.
+test('an owner that does not answer is bypassed until it does', t => {
+  // The owner's process is frozen, and the membership has not detected it yet.
   // Callers would wait seconds for a grant that does not come.
   const client = createClient();
   client.ownerChanged(SECOND, 0);
@@ -139,9 +139,9 @@
   t.deepEqual(describe(client.receive(thawed, SECOND, 1600)), ['in_use 1']);
 });
 
-test('a grant that is of no use any more is given back', t => {
-  // The caller hangs up while the grant is on its way. Kept, the permit would
-  // never come free, and the endpoint would serve one request less for good.
+test('a grant for a withdrawn request is returned', t => {
+  // The caller hangs up while the grant is in transit. If the permit were not
+  // returned, the endpoint would serve one request less for good.
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   client.request(makeAsk('a'), 0);
--- a/packages/policy/src/simulation/attainment.ts
+++ b/packages/policy/src/simulation/attainment.ts
@@ -1,4 +1,4 @@
-/** What a simulated workload has got: attainment, goodput, fairness. */
+/** Results of a simulated workload: attainment, goodput, fairness. */
 
 import type {Arrival} from './workload.js';
 
@@ -21,29 +21,33 @@
   readonly offered: number;
   readonly served: number;
   readonly refused: number;
-  /** Share of those offered that met all targets. */
+  /** Share of the offered requests that met all targets. */
   readonly attainment: number;
   readonly firstTokenP50Ms: number;
   readonly firstTokenP99Ms: number;
-  /** Fewest that any ten seconds of arrivals had served. */
+  /**
+   * Fewest requests served of those that arrived in any window of ten seconds.
+   */
   readonly fewestServedIn10s: number;
 }
 
 /** All figures of one run. */
 export interface SimulationResult {
   readonly classes: readonly GroupResult[];
-  /** Client accounts in the class that is watched. */
+  /** Client accounts of the watched class. */
   readonly accounts: readonly GroupResult[];
   /** Output tokens a second of requests that met all targets. */
   readonly goodputPerSecond: number;
   readonly worstAttainment: number;
   /** Attainment of the worst account over that of the median one. */
   readonly worstOverMedian: number;
-  /** Tokens produced for requests that missed a target, of all produced. */
+  /**
+   * Share of the produced tokens that belong to requests that missed a target.
+   */
   readonly missedTokenShare: number;
 }
 
-/** Whether a request met first token, between tokens and deadline. */
+/** Whether a request was served within its token targets and its deadline. */
 export function meetsTargets(result: RequestResult): boolean {
   const {requestClass} = result.arrival.source;
   if (result.outcome !== 'served') return false;
@@ -54,14 +58,14 @@
   );
 }
 
-/** Whose fairness a run is about. */
+/** Selects the client accounts whose fairness is measured. */
 export interface WatchedAccounts {
   readonly requestClass: string;
-  /** The account that floods the class does not count itself. */
+  /** An account that is left out, such as the one that floods the class. */
   readonly except?: string;
 }
 
-/** Sums up the results of a run. */
+/** Summarises the results of a run. */
 export function summarise(
   results: readonly RequestResult[],
   durationMs: number,
--- a/packages/policy/src/simulation/cell_simulation.test.ts
+++ b/packages/policy/src/simulation/cell_simulation.test.ts
@@ -26,9 +26,9 @@
   return summarise(results, DURATION_MS, scenario.watched);
 }
 
-test('a burst of the middle class leaves the top one its service', t => {
-  // One class bursts to ten times its traffic. Callers of the class above it must
-  // notice nothing, and the class below it must not be shut out.
+test('a burst of the middle class does not affect the top class', t => {
+  // The middle class bursts to ten times its traffic. The class above it must
+  // keep its attainment, and the class below it must not starve.
   const tiered = run('burst_middle', 'tiered');
   const baseline = run('burst_middle', 'least_in_flight');
   t.true(tiered.classes[0].attainment >= 0.96);
@@ -36,16 +36,16 @@
   t.true(tiered.goodputPerSecond >= 0.9 * baseline.goodputPerSecond);
 });
 
-test('one account that floods a class leaves the others their service', t => {
+test('an account that floods a class does not affect the others', t => {
   const {worstAttainment, worstOverMedian} = run('flood_low', 'tiered');
   t.true(worstAttainment >= 0.9);
   t.true(worstOverMedian >= 0.9);
 });
 
-test('a killed owner is replaced without a wave of slow answers', t => {
-  // The owner dies within a burst. Its successor knows no limits; begun at the
-  // utmost they would let a whole batch too many in, and every stream would slow
-  // down for seconds.
+test('replacing a killed owner does not slow down the top class', t => {
+  // The owner is killed during a burst, and its successor has learnt no limits.
+  // If they started at the maximum, a whole batch too many would be admitted,
+  // and every stream would slow down for seconds.
   const {classes} = run('owner_killed', 'tiered');
   t.true(classes[0].attainment >= 0.94);
 });
--- a/packages/policy/src/simulation/cell_simulation.ts
+++ b/packages/policy/src/simulation/cell_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * One cell under a simulated clock: entry instances with their permit clients,
- * an owner, engines, and messages that go out in frames once a tick.
+ * Simulates one cell under a simulated clock: entry instances with their permit
+ * clients, an owner, engines, and messages that are sent in one frame per tick.
  */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
@@ -28,23 +28,23 @@
 
 const STEP_MS = 5;
 const TICK_MS = 50;
-/** For what came last to finish. */
+/** Longest time after the last arrival for requests to finish. */
 const MAX_DRAIN_MS = 60_000;
 const PROGRESS_EVERY_MS = 50;
 
-/** Something that happens to the cell at an instant. */
+/** An event in the cell at a point in time. */
 export type SimulatedEvent = {readonly atMs: number} & (
   | {readonly kind: 'crash'; readonly endpoint: string}
-  /** Steps take this many times as long; 1 mends it. */
+  /** Steps take this many times as long; 1 restores normal speed. */
   | {readonly kind: 'slow'; readonly endpoint: string; readonly factor: number}
-  /** The owner's process stands still; what is sent to it is kept. */
+  /** The owner's process is frozen; messages sent to it are kept. */
   | {readonly kind: 'freeze_owner'}
   | {readonly kind: 'thaw_owner'}
-  /** The owner's decisions are lost with it, and another one is told to all. */
+  /** Another owner takes over; decisions and messages in transit are lost. */
   | {readonly kind: 'replace_owner'}
 );
 
-/** What {@link simulateCell} is made from. */
+/** Options of {@link simulateCell}. */
 export interface CellSimulationOptions {
   readonly policy: PolicyName;
   readonly seed: number;
@@ -63,7 +63,7 @@
   endpoint?: string;
 }
 
-/** Runs the workload; gives how each request ended. */
+/** Runs the workload and returns how each request ended. */
 export function simulateCell(options: CellSimulationOptions): RequestResult[] {
   return new CellSimulation(options).run();
 }
@@ -250,7 +250,9 @@
     }
   }
 
-  /** One frame each way, then time passes for all. */
+  /**
+   * Delivers one frame each way, then advances the time of owner and clients.
+   */
   private tick(nowMs: number): void {
     for (const output of this.owner.beginTick()) {
       const client = this.clients.get(output.instance)!;
--- a/packages/policy/src/simulation/request_result.ts
+++ b/packages/policy/src/simulation/request_result.ts
@@ -1,10 +1,10 @@
-/** How a simulated request ended, from what its attempt has come to. */
+/** Derives the result of a simulated request from its attempt. */
 
 import type {RequestResult} from './attainment.js';
 import type {EngineAttempt} from './simulated_engine.js';
 import type {Arrival} from './workload.js';
 
-/** What a release tells of an attempt; absent where too few tokens came. */
+/** Times that a release reports; absent where too few tokens were produced. */
 export interface AttemptTimes {
   /** From the submission to the engine. */
   readonly firstTokenMs?: number;
@@ -25,8 +25,8 @@
 }
 
 /**
- * The result of a request whose attempt ran to its end; its times count from
- * the request's arrival.
+ * The result of a request whose attempt ran to its end, with times measured
+ * from the request's arrival.
  *
  * @example
  * results.push(describeServed(arrival, attempt));
--- a/packages/policy/src/simulation/scenarios.ts
+++ b/packages/policy/src/simulation/scenarios.ts
@@ -1,4 +1,4 @@
-/** Workloads of the measurement of a cell. */
+/** Workloads for the simulation of a cell. */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
 import {makeClass} from '../test_fixtures.js';
@@ -6,7 +6,7 @@
 import type {SimulatedEvent} from './cell_simulation.js';
 import type {TrafficSource} from './workload.js';
 
-/** A workload and what happens meanwhile. */
+/** A workload and the events during it. */
 export interface Scenario {
   readonly name: string;
   readonly sources: readonly TrafficSource[];
@@ -31,7 +31,7 @@
   guaranteedShare: 0.05,
 });
 
-/** Four engines do about 10 such requests a second within their targets. */
+/** Four engines serve about 10 such requests a second within their targets. */
 const ORDINARY_TRAFFIC: readonly TrafficSource[] = [
   ...createAccountSources(TOP_CLASS, 3),
   ...createAccountSources(MIDDLE_CLASS, 3),
@@ -98,14 +98,14 @@
   ownerLost('owner_killed', {kind: 'replace_owner', atMs: 30_000}),
 ];
 
-/** The owner stands still from within a burst until something happens. */
+/** The owner freezes during a burst, until the event `then`. */
 function ownerLost(name: string, then: SimulatedEvent): Scenario {
   const sources = ORDINARY_TRAFFIC.map(source => burstIf(source, MIDDLE_CLASS));
   const freeze: SimulatedEvent = {kind: 'freeze_owner', atMs: 25_000};
   return {name, sources, events: [freeze, then], watched: TOP_CLASS_ACCOUNTS};
 }
 
-/** Accounts of one class, each with the same small rate. */
+/** Sources of five accounts in one class, with equal parts of the rate. */
 function createAccountSources(
   requestClass: RequestClass,
   perSecond: number,
--- a/packages/policy/src/simulation/simulated_engine.ts
+++ b/packages/policy/src/simulation/simulated_engine.ts
@@ -7,22 +7,26 @@
   readonly baseStepMs: number;
   /** Added for each request of the batch. */
   readonly perRequestMs: number;
-  /** Added besides for each request beyond the knee: memory is short. */
+  /**
+   * Added for each request beyond the knee as well, as memory becomes short.
+   */
   readonly beyondKneeMs: number;
   readonly kneeBatch: number;
-  /** Added to the step in which a prompt is read. */
+  /** Added per prompt token to the step in which a prompt is read. */
   readonly perPromptTokenMs: number;
-  /** Requests beyond wait inside the engine. */
+  /** Largest batch; further requests wait inside the engine. */
   readonly maxBatch: number;
-  /** Starts of prompts that it remembers, the latest used. */
+  /**
+   * Number of prompt prefixes in the cache; the least recently used is evicted.
+   */
   readonly cachedPrefixes: number;
-  /** What is left of a prompt's time if its start is remembered. */
+  /** Share of the prompt's tokens that must be read if its prefix is cached. */
   readonly cachedPromptShare: number;
 }
 
 /**
- * Steps of 25 ms at a batch of 8, 34 at 16 and 73 at 32: tokens a second grow
- * up to the knee and fall a little beyond it.
+ * Steps take 25 ms at a batch of 8, 34 ms at 16 and 73 ms at 32: tokens a
+ * second grow up to the knee and fall slightly beyond it.
  */
 export const DEFAULT_SPEED: EngineSpeed = {
   baseStepMs: 15,
@@ -35,7 +39,7 @@
   cachedPromptShare: 0.1,
 };
 
-/** What one attempt has come to. */
+/** Progress of one attempt at the engine. */
 export interface EngineAttempt {
   readonly attempt: AttemptId;
   readonly prefixHash?: string;
@@ -47,7 +51,7 @@
   lastTokenAtMs?: number;
 }
 
-/** Produces one token for each request of its batch in a step. */
+/** Produces one token for each request of its batch in each step. */
 export class SimulatedEngine {
   /** Steps take this many times as long. */
   stepTimeFactor = 1;
@@ -59,7 +63,7 @@
 
   constructor(private readonly speed: EngineSpeed = DEFAULT_SPEED) {}
 
-  /** All that it has, running or not. */
+  /** All attempts at the engine, running or queued. */
   attempts(): EngineAttempt[] {
     return [...this.batch.values(), ...this.queue];
   }
@@ -68,7 +72,7 @@
     this.queue.push(attempt);
   }
 
-  /** Loses all that it has. */
+  /** Drops all attempts and returns them. */
   crash(): EngineAttempt[] {
     const lost = this.attempts();
     this.batch.clear();
@@ -77,7 +81,7 @@
     return lost;
   }
 
-  /** Runs up to `nowMs`; gives the attempts that have finished. */
+  /** Runs up to `nowMs`; returns the attempts that have finished. */
   advance(nowMs: number): EngineAttempt[] {
     const finished: EngineAttempt[] = [];
     if (this.stepEndsAtMs === undefined) this.beginStep(nowMs);
@@ -102,7 +106,7 @@
         : undefined;
   }
 
-  /** Tokens of the prompt that have to be read. */
+  /** Number of prompt tokens that have to be read; updates the prefix cache. */
   private readPrompt({prefixHash, promptTokens}: EngineAttempt): number {
     if (prefixHash === undefined) return promptTokens;
     const cached = this.prefixes.delete(prefixHash);
--- a/packages/policy/src/simulation/simulated_owner.ts
+++ b/packages/policy/src/simulation/simulated_owner.ts
@@ -8,7 +8,7 @@
 import {createSeededRandom} from '../random_source.js';
 import {CELL} from '../test_fixtures.js';
 
-/** What a {@link SimulatedOwner} is made from. */
+/** Options of {@link SimulatedOwner}. */
 export interface SimulatedOwnerOptions {
   readonly policy: PolicyName;
   readonly seed: number;
@@ -19,7 +19,7 @@
 }
 
 /**
- * Frames go out once a tick, so what is said in one tick is heard in the next.
+ * Sends frames once a tick, so a message sent in one tick arrives in the next.
  *
  * @example
  * owner.queue(input);
@@ -37,7 +37,7 @@
     this.owner = this.create(0);
   }
 
-  /** The process stands still; what is sent to it is kept. */
+  /** Freezes the process; messages sent to it are kept. */
   freeze(): void {
     this.isFrozen = true;
   }
@@ -46,7 +46,7 @@
     this.isFrozen = false;
   }
 
-  /** Another process takes the cell over; what was on its way is lost. */
+  /** Another process takes over the cell; messages in transit are lost. */
   replace(nowMs: number): void {
     this.isFrozen = false;
     this.toOwner = [];
@@ -54,12 +54,12 @@
     this.owner = this.create(nowMs);
   }
 
-  /** Says something to the owner, in the next frame. */
+  /** Adds a message to the next frame to the owner. */
   queue(input: CellInput): void {
     this.toOwner.push(input);
   }
 
-  /** The frames arrive: those to the owner, and those given to the clients. */
+  /** Accepts the frame to the owner, and returns the one to the clients. */
   beginTick(): CellOutput[] {
     const outputs = this.toClients;
     this.toClients = [];
@@ -67,7 +67,7 @@
     return outputs;
   }
 
-  /** Takes in what has arrived, and lets time pass. */
+  /** Handles the messages that have arrived, and advances the time. */
   endTick(nowMs: number): void {
     for (const input of this.arrived.splice(0)) {
       this.toClients.push(...this.owner.receive(input, nowMs));
--- a/packages/policy/src/simulation/workload.ts
+++ b/packages/policy/src/simulation/workload.ts
@@ -1,4 +1,4 @@
-/** Seeded arrivals of requests for the measurement of a cell. */
+/** Generates arrivals of requests for the simulation of a cell. */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
 import type {RandomSource} from '../random_source.js';
@@ -12,9 +12,9 @@
   readonly perSecond: number;
   readonly meanPromptTokens: number;
   readonly meanOutputTokens: number;
-  /** Prompts begin with one of so many texts; each differs if absent. */
+  /** Number of prefixes that prompts share; none is shared if absent. */
   readonly sharedPrefixes?: number;
-  /** Times the rate between two instants; none if absent. */
+  /** Multiplies the rate between two points in time; no burst if absent. */
   readonly burst?: {
     readonly factor: number;
     readonly fromMs: number;
@@ -32,8 +32,9 @@
 }
 
 /**
- * Poisson arrivals, open loop: they do not wait for answers. Lengths are
- * exponential, so that a request's own is unknown beforehand.
+ * Generates Poisson arrivals in an open loop: they do not wait for answers.
+ * Lengths are exponentially distributed, so that the length of a request can't
+ * be known beforehand.
  */
 export function generateArrivals(
   sources: readonly TrafficSource[],
--- a/packages/policy/src/tiered_queue.test.ts
+++ b/packages/policy/src/tiered_queue.test.ts
@@ -8,7 +8,7 @@
 const SEED = 20261202;
 const ACCOUNTS = ['a', 'b', 'c'].map(id => brandAs<ClientAccountId>(id));
 
-/** Keeps two requests waiting in each tier; gives the tiers dispatched. */
+/** Keeps two requests waiting in each tier; returns the dispatched tiers. */
 function dispatchTiers(shares: readonly number[], turns: number): number[] {
   const queue = new TieredQueue();
   queue.configure(
@@ -32,7 +32,7 @@
   });
 }
 
-test('a class with a guaranteed share is served within a bound', t => {
+test('a class with a guaranteed share waits a bounded number of turns', t => {
   const share = fc.integer({min: 1, max: 20}).map(percent => percent / 100);
   const shares = fc.array(share, {minLength: 2, maxLength: 7});
   fc.assert(
@@ -60,16 +60,17 @@
   return longest;
 }
 
-test('a share delays the top tier by no more than itself', t => {
+test('guaranteed shares take no more than their part from the top tier', t => {
   // The first turn comes when the shares of 20 dispatches have added up.
   const tiers = dispatchTiers([0, 0.05, 0.05], 1022);
   t.is(tiers.filter(tier => tier === 1).length, 51);
   t.is(tiers.filter(tier => tier === 2).length, 51);
 });
 
-test('no account is charged into jumping ahead of one that waits', t => {
-  // Expected tokens are charged at the start and corrected at the end. An account
-  // that asks for much and uses little must not end up with credit.
+test('no correction puts an account ahead of one that waits', t => {
+  // Expected tokens are charged at the start and corrected at the end. An
+  // account whose requests produce fewer tokens than expected must not gain
+  // credit.
   const step = fc.record({
     account: fc.nat(2),
     kind: fc.constantFrom('wait', 'leave', 'charge'),
