--- a/packages/policy/src/cell_meter.ts
+++ b/packages/policy/src/cell_meter.ts
@@ -72,7 +72,7 @@
     this.meanHeldMs = blend(this.meanHeldMs, heldMs);
   }
 
-  /** Records the time from a grant to the first token, transit included. */
+  /** Records a time to the first token, including the transit of the grant. */
   firstTokenObserved(afterMs: number): void {
     const error = Math.abs(afterMs - (this.meanFirstTokenMs ?? afterMs));
     this.meanFirstTokenMs = blend(this.meanFirstTokenMs, afterMs);
--- a/packages/policy/src/client_allotment.ts
+++ b/packages/policy/src/client_allotment.ts
@@ -35,7 +35,8 @@
   }
 
   /**
-   * Clears the allotment and its use, for a new owner that counts from zero.
+   * Clears the allotment and its use for a new owner, which counts from zero
+   * and gets the running attempts individually.
    */
   reset(): void {
     this.sequence = 0;
--- a/packages/policy/src/client_messages.ts
+++ b/packages/policy/src/client_messages.ts
@@ -33,8 +33,8 @@
       readonly input: CellInput;
     };
 
-/** Changes of a cell in the configuration or the membership. */
-export type CellConfiguration = Extract<
+/** Inputs that describe a cell, from the configuration and the membership. */
+export type CellConfigurationInput = Extract<
   CellInput,
   {kind: 'endpoints' | 'classes' | 'instance_joined' | 'instance_gone'}
 >;
--- a/packages/policy/src/client_state.ts
+++ b/packages/policy/src/client_state.ts
@@ -10,7 +10,7 @@
 } from '@snipestage/types/permits.js';
 import type {CellEndpoint, CellInput} from './cell_messages.js';
 import {ClientAllotment} from './client_allotment.js';
-import type {CellConfiguration, ClientOutput} from './client_messages.js';
+import type {CellConfigurationInput, ClientOutput} from './client_messages.js';
 import {RunningAttempts, type AttemptStart} from './running_attempts.js';
 import {PendingRequests} from './pending_requests.js';
 
@@ -39,7 +39,7 @@
     this.instances.add(instance);
   }
 
-  configure(input: CellConfiguration): void {
+  configure(input: CellConfigurationInput): void {
     switch (input.kind) {
       case 'endpoints':
         this.endpoints = input.endpoints;
--- a/packages/policy/src/owner_messages.ts
+++ b/packages/policy/src/owner_messages.ts
@@ -40,7 +40,7 @@
  *
  * @example
  * const messages = new OwnerMessages({state, fallback});
- * messages.tell({kind: 'withdraw', attempt}, nowMs);
+ * messages.notify({kind: 'withdraw', attempt}, nowMs);
  */
 export class OwnerMessages {
   private readonly state: ClientState;
@@ -66,8 +66,8 @@
   }
 
   /** Records a message from the owner, or a change of owner. */
-  ownerAnswered(): void {
-    this.silenceDetector.ownerAnswered();
+  resetSilence(): void {
+    this.silenceDetector.reset();
   }
 
   isOwnerSilent(nowMs: number): boolean {
@@ -100,8 +100,8 @@
 
   /**
    * Repeats requests for permits, as a lost one would wait for ever. An owner
-   * always answers a repeated request, so that one that has nothing to send can
-   * be distinguished from a dead one.
+   * answers the repetition of a request that it has queued, so that an owner
+   * that has nothing to send can be distinguished from a dead one.
    */
   repeatRequests(nowMs: number): void {
     const {repeatRequestMs} = this.times;
--- a/packages/policy/src/owner_silence_detector.ts
+++ b/packages/policy/src/owner_silence_detector.ts
@@ -8,7 +8,7 @@
   constructor(private readonly silentAfterMs: number) {}
 
   /**
-   * Records that the owner was sent a message that it always answers: the
+   * Records that the owner was sent a message that calls for an answer: the
    * permits in use, or a repeated request. A first request may get no answer
    * for a while.
    */
@@ -17,7 +17,7 @@
   }
 
   /** Records a message from the owner, or a change of owner. */
-  ownerAnswered(): void {
+  reset(): void {
     this.replyExpectedSinceMs = undefined;
   }
 
--- a/packages/policy/src/permit_book.ts
+++ b/packages/policy/src/permit_book.ts
@@ -70,7 +70,8 @@
   }
 
   /**
-   * Records that the instance reported a permit, and if under its allotment.
+   * Records that the instance reported a permit, and whether the permit counts
+   * within its allotment.
    */
   confirm(permit: HeldPermit, underAllotment: boolean): void {
     permit.confirmed = true;
@@ -159,7 +160,7 @@
 
   private countReserved(): PermitCounts {
     const reserved = new Map<EndpointId, number>();
-    const runningUnderAllotments = this.countRunningUnderAllotments();
+    const runningUnderAllotments = this.countUnderAllotments();
     for (const {endpoint, underAllotment} of this.held.values()) {
       if (!underAllotment) add(reserved, endpoint, 1);
     }
@@ -187,10 +188,7 @@
   /**
    * Attempts under allotments, by instance and endpoint; 0 where only allotted.
    */
-  private countRunningUnderAllotments(): Map<
-    InstanceId,
-    Map<EndpointId, number>
-  > {
+  private countUnderAllotments(): Map<InstanceId, Map<EndpointId, number>> {
     const counts = new Map<InstanceId, Map<EndpointId, number>>();
     const at = (instance: InstanceId) => {
       const known = counts.get(instance) ?? new Map<EndpointId, number>();
--- a/packages/policy/src/permit_client.ts
+++ b/packages/policy/src/permit_client.ts
@@ -10,7 +10,7 @@
 import type {AttemptProgress, CellOutput} from './cell_messages.js';
 import {ClientFallback} from './client_fallback.js';
 import type {
-  CellConfiguration,
+  CellConfigurationInput,
   ClientOutput,
   PermitClientSnapshot,
 } from './client_messages.js';
@@ -83,7 +83,7 @@
    * @example
    * client.configure({kind: 'instance_gone', instance}, nowMs);
    */
-  configure(input: CellConfiguration, nowMs: number): ClientOutput[] {
+  configure(input: CellConfigurationInput, nowMs: number): ClientOutput[] {
     this.state.configure(input);
     this.fallback.configure(nowMs);
     return this.state.takeOutputs();
@@ -99,8 +99,7 @@
   request(ask: PermitAsk, nowMs: number): ClientOutput[] {
     const {state} = this;
     if (state.isKnown(ask.attempt)) return [];
-    if (this.tryStartUnderAllotment(ask, nowMs))
-      state.waiting.startedAtOnce(nowMs);
+    if (this.startIfAllotted(ask, nowMs)) state.waiting.startedAtOnce(nowMs);
     else this.requestPermit(state.waiting.add(ask, nowMs), nowMs);
     return state.takeOutputs();
   }
@@ -131,7 +130,7 @@
       if (output.kind === 'grant') state.returnUnusedPermit(output.grant, from);
       return state.takeOutputs();
     }
-    this.messages.ownerAnswered();
+    this.messages.resetSilence();
     if (this.fallback.isActive) this.switchToOwner(nowMs);
     if (output.kind === 'grant') state.granted(output.grant, from, nowMs);
     if (output.kind === 'refuse') state.refused(output.refusal);
@@ -175,11 +174,11 @@
    * client.ownerChanged(null, nowMs); // decides alone from now on
    */
   ownerChanged(owner: InstanceId | null, nowMs: number): ClientOutput[] {
-    const isFallbackActive = owner === null && this.fallback.isActive;
+    const staysInFallback = owner === null && this.fallback.isActive;
     this.state.owner = owner;
     this.ownerTerm = undefined;
-    this.messages.ownerAnswered();
-    if (isFallbackActive) return [];
+    this.messages.resetSilence();
+    if (staysInFallback) return [];
     this.state.dropAllotment();
     if (owner === null) this.startFallback(nowMs);
     else this.switchToOwner(nowMs);
@@ -235,7 +234,7 @@
    * done while no request of this instance waits, since a request of an equal
    * or lower tier must not overtake a waiting one.
    */
-  private tryStartUnderAllotment(ask: PermitAsk, nowMs: number): boolean {
+  private startIfAllotted(ask: PermitAsk, nowMs: number): boolean {
     const {allotment, endpoints, instance, owner, waiting} = this.state;
     if (this.fallback.isActive || owner === null) return false;
     if (ask.suspect || waiting.size > 0) return false;
--- a/packages/policy/src/permit_reports.ts
+++ b/packages/policy/src/permit_reports.ts
@@ -55,8 +55,7 @@
     nowMs: number,
   ): void {
     const listed = new Set(permits.map(({attempt}) => attempt));
-    for (const permit of permits)
-      this.recordReportedPermit(instance, permit, nowMs);
+    for (const permit of permits) this.recordPermit(instance, permit, nowMs);
     for (const permit of this.state.book.heldBy(instance)) {
       if (!listed.has(permit.attempt)) this.handleUnlistedPermit(permit, nowMs);
     }
@@ -69,8 +68,7 @@
     permits: readonly PermitInUse[],
     nowMs: number,
   ): void {
-    for (const permit of permits)
-      this.recordReportedPermit(instance, permit, nowMs);
+    for (const permit of permits) this.recordPermit(instance, permit, nowMs);
     this.state.counters.startedUnasked += permits.length;
   }
 
@@ -117,9 +115,9 @@
   /**
    * Handles a permit that its instance should hold but does not list. If the
    * instance knew of it, the release was lost, and the permit is freed, since
-   * it would never be otherwise. If not, the grant is in transit or was lost:
-   * after a while it is sent again, and an instance that no longer needs it
-   * returns it.
+   * it would otherwise be held for good. If not, the grant is in transit or was
+   * lost: after a while it is sent again, and an instance that no longer needs
+   * it returns it.
    */
   private handleUnlistedPermit(permit: HeldPermit, nowMs: number): void {
     if (permit.underAllotment || permit.confirmed) {
@@ -132,7 +130,7 @@
   }
 
   /** Records a permit that the instance reports as held. */
-  private recordReportedPermit(
+  private recordPermit(
     instance: InstanceId,
     reportedPermit: PermitInUse,
     nowMs: number,
--- a/packages/policy/src/simulation/cell_simulation.test.ts
+++ b/packages/policy/src/simulation/cell_simulation.test.ts
@@ -26,7 +26,7 @@
   return summarise(results, DURATION_MS, scenario.watched);
 }
 
-test('a burst of the middle class does not affect the top class', t => {
+test('a burst of the middle class leaves the top class its attainment', t => {
   // The middle class bursts to ten times its traffic. The class above it must
   // keep its attainment, and the class below it must not starve.
   const tiered = run('burst_middle', 'tiered');
@@ -36,13 +36,13 @@
   t.true(tiered.goodputPerSecond >= 0.9 * baseline.goodputPerSecond);
 });
 
-test('an account that floods a class does not affect the others', t => {
+test('an account that floods a class leaves the others their attainment', t => {
   const {worstAttainment, worstOverMedian} = run('flood_low', 'tiered');
   t.true(worstAttainment >= 0.9);
   t.true(worstOverMedian >= 0.9);
 });
 
-test('replacing a killed owner does not slow down the top class', t => {
+test('the top class keeps its attainment when a killed owner is replaced', t => {
   // The owner is killed during a burst, and its successor has learnt no limits.
   // If they started at the maximum, a whole batch too many would be admitted,
   // and every stream would slow down for seconds.
--- a/packages/policy/src/standing_allotments.ts
+++ b/packages/policy/src/standing_allotments.ts
@@ -12,8 +12,8 @@
  */
 const UNALLOTTED_SHARE = 0.25;
 /**
- * A change smaller than this and than {@link MIN_CHANGE_SHARE} of the allotment
- * is not worth a message.
+ * A change of fewer permits than this, or by less than {@link MIN_CHANGE_SHARE}
+ * of the allotment, is not worth a message, unless it is from or to zero.
  */
 const MIN_CHANGE_COUNT = 2;
 const MIN_CHANGE_SHARE = 0.25;
--- a/packages/policy/src/tiered_choice.ts
+++ b/packages/policy/src/tiered_choice.ts
@@ -9,10 +9,7 @@
 import type {RandomSource} from './random_source.js';
 import {rankByRendezvous} from './rendezvous.js';
 
-/**
- * Factor of its fair share of the load up to which affinity selects an
- * endpoint.
- */
+/** Largest load for selection by affinity, relative to the fair load. */
 const AFFINITY_LOAD_BOUND = 1.5;
 
 /** Options of {@link TieredChoice}. */
--- a/packages/policy/src/virtual_counters.ts
+++ b/packages/policy/src/virtual_counters.ts
@@ -13,7 +13,7 @@
 export class VirtualCounters {
   private readonly counters = new Map<ClientAccountId, number>();
   private readonly active = new Set<ClientAccountId>();
-  private lastDeactivated: ClientAccountId | undefined;
+  private lastWaited: ClientAccountId | undefined;
 
   get(account: ClientAccountId): number {
     return this.counters.get(account) ?? 0;
@@ -34,7 +34,7 @@
   /** Marks an account as having no waiting requests. */
   deactivate(account: ClientAccountId): void {
     if (!this.active.delete(account)) return;
-    this.lastDeactivated = account;
+    this.lastWaited = account;
     this.forgetIdle();
   }
 
@@ -80,9 +80,7 @@
   }
 
   private lastCounter(): number {
-    return this.lastDeactivated === undefined
-      ? 0
-      : this.get(this.lastDeactivated);
+    return this.lastWaited === undefined ? 0 : this.get(this.lastWaited);
   }
 
   private forgetIdle(): void {
@@ -90,8 +88,7 @@
     if (idle <= MAX_IDLE_COUNTER_COUNT) return;
     let lowest: ClientAccountId | undefined;
     for (const account of this.counters.keys()) {
-      if (this.active.has(account) || account === this.lastDeactivated)
-        continue;
+      if (this.active.has(account) || account === this.lastWaited) continue;
       if (lowest === undefined || this.get(account) < this.get(lowest)) {
         lowest = account;
       }
