--- a/packages/policy/src/simulation/cell_simulation.test.ts
+++ b/packages/policy/src/simulation/cell_simulation.test.ts
@@ -42,7 +42,7 @@
   t.true(worstOverMedian >= 0.9);
 });
 
-test('the top class keeps its attainment when a killed owner is replaced', t => {
+test('the top class keeps its attainment after the owner is killed', t => {
   // The owner is killed during a burst, and its successor has learnt no limits.
   // If they started at the maximum, a whole batch too many would be admitted,
   // and every stream would slow down for seconds.
