--- a/packages/policy/src/cell_properties.test.ts
+++ b/packages/policy/src/cell_properties.test.ts
@@ -87,7 +87,7 @@
   kind: fc.constant('new_owner' as const),
   which,
 });
-const soundStep: fc.Arbitrary<Step> = fc.oneof(
+const faultFreeStep: fc.Arbitrary<Step> = fc.oneof(
   {weight: 20, arbitrary: ordinaryStep},
   {weight: 1, arbitrary: handOver},
 );
@@ -99,7 +99,7 @@
   },
 );
 
-/** Three instances and an owner, with frames that go out once a tick. */
+/** Three instances and an owner, with messages sent in one frame per tick. */
 class World {
   readonly running = new Map<
     string,
@@ -153,7 +153,7 @@
     }
   }
 
-  /** Lets all that waits and runs come to its end under a sound owner. */
+  /** Lets all waiting and running requests end under a working owner. */
   settle(): void {
     this.frozen = false;
     if (this.owningInstance === null) this.changeOwner(0);
@@ -259,16 +259,16 @@
     ];
     for (const input of inputs)
       this.decide(this.owner.receive(input, this.nowMs));
-    this.tellOwner(this.owningInstance);
+    this.announceOwner(this.owningInstance);
   }
 
   private loseOwner(): void {
     this.owningInstance = null;
     this.loseFrames();
-    this.tellOwner(null);
+    this.announceOwner(null);
   }
 
-  private tellOwner(owner: InstanceId | null): void {
+  private announceOwner(owner: InstanceId | null): void {
     for (const [instance, client] of this.clients) {
       this.carryOut(instance, client.ownerChanged(owner, this.nowMs));
     }
@@ -292,7 +292,7 @@
       }
       const {attempt} = output;
       if (!this.waiting.delete(attempt)) {
-        throw new Error(`${attempt} had ended and got ${output.kind}`);
+        throw new Error(`${attempt} got ${output.kind} but was not waiting`);
       }
       if (output.kind === 'refused') this.end(attempt, 'refused');
       else this.running.set(attempt, {instance, endpoint: output.endpoint});
@@ -314,44 +314,47 @@
     .length;
 }
 
-test('with one owner no endpoint ever runs above its limit', t => {
-  // Allotments shrink and grow, grants and releases cross on the way, and owners
-  // follow each other without knowing what runs. Above its limit an engine slows
-  // down for all that it runs.
+test('with one owner at a time no endpoint exceeds its limit', t => {
+  // Allotments shrink and grow, grants and releases cross in transit, and
+  // owners replace each other without knowing what runs. An engine above its
+  // limit slows down all its requests.
   fc.assert(
-    fc.property(fc.array(soundStep, {maxLength: 120, size: 'max'}), steps => {
-      const world = new World(() => {});
-      for (const step of steps) {
-        world.apply(step);
-        for (const {id, maxConcurrency} of ENDPOINTS) {
-          if (runningAt(world, id) > maxConcurrency) return false;
+    fc.property(
+      fc.array(faultFreeStep, {maxLength: 120, size: 'max'}),
+      steps => {
+        const world = new World(() => {});
+        for (const step of steps) {
+          world.apply(step);
+          for (const {id, maxConcurrency} of ENDPOINTS) {
+            if (runningAt(world, id) > maxConcurrency) return false;
+          }
         }
-      }
-      return true;
-    }),
+        return true;
+      },
+    ),
     {seed: SEED, numRuns: RUNS},
   );
   t.pass();
 });
 
-test('nothing is shed while a lower tier waits that could give way', t => {
+test('no request is shed while one of a lower tier could be shed', t => {
   fc.assert(
     fc.property(
       fc.array(ordinaryStep, {maxLength: 120, size: 'max'}),
       steps => {
-        let sound = true;
+        let holds = true;
         const world: World = new World(output => {
           if (output.kind !== 'refuse') return;
           if (output.refusal.reason !== 'overloaded') return;
           const tier = Number(output.refusal.attempt[1]);
           for (const queue of world.snapshot().queue) {
-            // One place of each of these classes is on top of the common ones.
+            // One waiting request of each of these classes is protected.
             const own = CLASSES[queue.tier].guaranteedShare > 0 ? 1 : 0;
-            if (queue.tier > tier && queue.waiting > own) sound = false;
+            if (queue.tier > tier && queue.waiting > own) holds = false;
           }
         });
         for (const step of steps) world.apply(step);
-        return sound;
+        return holds;
       },
     ),
     {seed: SEED, numRuns: RUNS},
@@ -359,10 +362,10 @@
   t.pass();
 });
 
-test('no permit is lost and no request forgotten through any change', t => {
-  // Owners die, freeze, thaw and follow each other, frames are lost, callers
-  // hang up. A permit lost for good would make the endpoint serve one request
-  // less; a request forgotten would keep its caller waiting for ever.
+test('no permit or request is lost through changes of owner and faults', t => {
+  // Owners are lost, freeze, thaw and replace each other, frames are lost,
+  // callers hang up. A lost permit would make the endpoint serve one request
+  // less for good; a lost request would keep its caller waiting for ever.
   fc.assert(
     fc.property(fc.array(anyStep, {maxLength: 120, size: 'max'}), steps => {
       const world = new World(() => {});
--- a/packages/policy/src/simulation/cell_simulation.ts
+++ b/packages/policy/src/simulation/cell_simulation.ts
@@ -1,6 +1,6 @@
 /**
- * One cell under a simulated clock: entry instances with their permit clients,
- * an owner, engines, and messages that go out in frames once a tick.
+ * Simulates one cell under a simulated clock: entry instances with their permit
+ * clients, an owner, engines, and messages that are sent in one frame per tick.
  */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
@@ -28,23 +28,23 @@
 
 const STEP_MS = 5;
 const TICK_MS = 50;
-/** For what came last to finish. */
-const DRAIN_MS = 60_000;
+/** Longest time after the last arrival for requests to finish. */
+const MAX_DRAIN_MS = 60_000;
 const PROGRESS_EVERY_MS = 50;
 
-/** Something that happens to the cell at an instant. */
+/** An event in the cell at a point in time. */
 export type SimulatedEvent = {readonly atMs: number} & (
   | {readonly kind: 'crash'; readonly endpoint: string}
-  /** Steps take this many times as long; 1 mends it. */
+  /** Steps take this many times as long; 1 restores normal speed. */
   | {readonly kind: 'slow'; readonly endpoint: string; readonly factor: number}
-  /** The owner's process stands still; what is sent to it is kept. */
+  /** The owner's process is frozen; messages sent to it are kept. */
   | {readonly kind: 'freeze_owner'}
   | {readonly kind: 'thaw_owner'}
-  /** The owner's decisions are lost with it, and another one is told to all. */
+  /** Another owner takes over; decisions and messages in transit are lost. */
   | {readonly kind: 'replace_owner'}
 );
 
-/** What {@link simulateCell} is made from. */
+/** Options of {@link simulateCell}. */
 export interface CellSimulationOptions {
   readonly policy: PolicyName;
   readonly seed: number;
@@ -63,7 +63,7 @@
   endpoint?: string;
 }
 
-/** Runs the workload; gives how each request ended. */
+/** Runs the workload and returns how each request ended. */
 export function simulateCell(options: CellSimulationOptions): RequestResult[] {
   return new CellSimulation(options).run();
 }
@@ -106,12 +106,12 @@
   run(): RequestResult[] {
     this.configure();
     const {durationMs} = this.options;
-    for (let nowMs = 0; nowMs <= durationMs + DRAIN_MS; nowMs += STEP_MS) {
+    for (let nowMs = 0; nowMs <= durationMs + MAX_DRAIN_MS; nowMs += STEP_MS) {
       if (nowMs > durationMs && this.live.size === 0) break;
       this.applyEvents(nowMs);
-      this.arrive(nowMs);
+      this.submitDueArrivals(nowMs);
       this.runEngines(nowMs);
-      if (nowMs % PROGRESS_EVERY_MS === 0) this.tellProgress(nowMs);
+      if (nowMs % PROGRESS_EVERY_MS === 0) this.reportProgress(nowMs);
       if (nowMs % TICK_MS === 0) this.tick(nowMs);
     }
     for (const {arrival} of this.live.values()) {
@@ -129,11 +129,11 @@
         client.configure({kind: 'instance_joined', instance}, 0);
       }
     }
-    this.tellOwner(0);
+    this.announceOwner(0);
     for (let round = 0; round < 4; round++) this.tick(0);
   }
 
-  private tellOwner(nowMs: number): void {
+  private announceOwner(nowMs: number): void {
     for (const client of this.clients.values()) {
       this.carryOut(client.ownerChanged(this.owningInstance, nowMs), nowMs);
     }
@@ -152,7 +152,7 @@
   private applyEvent(event: SimulatedEvent, nowMs: number): void {
     switch (event.kind) {
       case 'slow':
-        this.engines.get(event.endpoint)!.slowness = event.factor;
+        this.engines.get(event.endpoint)!.stepTimeFactor = event.factor;
         return;
       case 'crash':
         for (const lost of this.engines.get(event.endpoint)!.crash()) {
@@ -167,11 +167,11 @@
         return;
       case 'replace_owner':
         this.owner.replace(nowMs);
-        this.tellOwner(nowMs);
+        this.announceOwner(nowMs);
     }
   }
 
-  private arrive(nowMs: number): void {
+  private submitDueArrivals(nowMs: number): void {
     const {arrivals} = this.options;
     while (this.nextArrival < arrivals.length) {
       const arrival = arrivals[this.nextArrival];
@@ -231,7 +231,7 @@
     );
   }
 
-  private tellProgress(nowMs: number): void {
+  private reportProgress(nowMs: number): void {
     const byInstance = new Map<InstanceId, EngineAttempt[]>();
     for (const engine of this.engines.values()) {
       for (const running of engine.attempts()) {
@@ -250,7 +250,9 @@
     }
   }
 
-  /** One frame each way, then time passes for all. */
+  /**
+   * Delivers one frame each way, then advances the time of owner and clients.
+   */
   private tick(nowMs: number): void {
     for (const output of this.owner.beginTick()) {
       const client = this.clients.get(output.instance)!;
