--- a/packages/agreement/src/canonical_json.ts
+++ b/packages/agreement/src/canonical_json.ts
@@ -1,10 +1,10 @@
-/** One text and one digest for equal values, whatever the order of fields. */
+/** JSON and digests that are equal for equal values, in any order of fields. */
 
 import {createHash} from 'node:crypto';
 
 /**
- * JSON with object fields sorted and undefined ones left out, in the manner of
- * RFC 8785 for the values that the protocols keep.
+ * JSON with object fields sorted and undefined ones left out; follows RFC 8785
+ * for the values that the protocols store.
  *
  * @example
  * canonicalJson({b: 1, a: 2}); // '{"a":2,"b":1}'
--- a/packages/agreement/src/claim.test.ts
+++ b/packages/agreement/src/claim.test.ts
@@ -20,7 +20,7 @@
   body: {kind: 'object', key: 'answers/1'},
 } as const;
 
-/** One attempt from its begin to its end, with an undisturbed table. */
+/** Runs one attempt from start to end, over a table that loses nothing. */
 function attempt(
   table: TableModel,
   name: string,
@@ -66,7 +66,7 @@
   return {table, decision};
 }
 
-test('a repeated key gets the kept answer, other content is refused', t => {
+test('a repeated key gets the stored answer, other content is refused', t => {
   const ran = {kind: 'ran', answer: ANSWER} as const;
   const {table} = attempt(EMPTY_TABLE, 'a', {end: ran});
   t.deepEqual(attempt(table, 'b').decision, {kind: 'replay', answer: ANSWER});
@@ -77,8 +77,8 @@
   t.deepEqual(cleanup.checks, [{key: KEY, version: 2}]);
 });
 
-// An instance dies after it sent a booking. A caller who asks again must not
-// get a second booking, nor be told that the first one never ran.
+// An instance dies after it sent a booking. A retry by the caller must neither
+// make a second booking nor get the answer that the first one never ran.
 test('an attempt of a dead incarnation is never run again', t => {
   const {table} = attempt(EMPTY_TABLE, 'a');
   t.is(attempt(table, 'b').decision?.kind, 'in_progress');
@@ -93,8 +93,9 @@
   t.is(attempt(table, 'b').decision?.kind, 'send');
 });
 
-// Answers of the table are lost, transactions arrive late, instances crash. A
-// caller would notice a doubled booking, a wrong answer or a key stuck for good.
+// Guards against a request that runs twice, a wrong answer and a key that stays
+// blocked, when the table's answers are lost, transactions arrive late and
+// instances crash.
 test('no order of losses and crashes runs a claimed request twice', t => {
   const two = explore(createClaimModel(), 2_000_000);
   t.log('2 attempts, 2 losses, 1 crash', two.states, 'states', two.transitions);
@@ -105,7 +106,7 @@
   t.is(all.violation, undefined, JSON.stringify(all.trace));
 });
 
-test('the model finds a claim that is not read back', t => {
+test('the model catches a claim that is not read back', t => {
   const mutant = createClaimModel({
     mutateEvent: (event, state) =>
       state.phase === 'claiming' &&
--- a/packages/agreement/src/claim.ts
+++ b/packages/agreement/src/claim.ts
@@ -1,11 +1,12 @@
 /**
  * Lets a request with an idempotency key run at most once: its claim is in the
- * table before a byte is sent, and its answer is kept there.
+ * table before a byte is sent, and its answer is stored there.
  *
- * Store calls a keyed request: two transactions of one row (claim, settle), no
- * read while answers arrive. A repeated key: one transaction, which conflicts.
- * At `k` keyed requests a second that is `2 k` writes a second. Cleanup scans
- * 256 shards a day and deletes `k` rows a second, by any one instance.
+ * Table calls per keyed request: two transactions of one row (claim, settle),
+ * and no read unless an answer is lost. A repeated key: one transaction, which
+ * conflicts. At `k` keyed requests a second that is `2 k` writes a second.
+ * Cleanup scans 256 shards a day and deletes `k` rows a second, by any one
+ * instance.
  */
 
 import type {
@@ -35,20 +36,20 @@
   type TableEvent,
 } from './table_effects.js';
 
-/** What is to happen to the request; told once. */
+/** What to do with the request; emitted once for each attempt. */
 export type ClaimDecision =
-  /** The claim is this attempt's: send it, once, and tell how it ended. */
+  /** This attempt holds the claim: send once, then feed `attempt_ended`. */
   | {readonly kind: 'send'}
   | {readonly kind: 'replay'; readonly answer: KeptAnswer}
-  /** Other content under the same key. */
+  /** The key was used with other content. */
   | {readonly kind: 'content_conflict'}
   | {readonly kind: 'in_progress'; readonly retryAfterMs: number}
-  /** An earlier attempt may have run; it is not run again. */
+  /** An earlier attempt ran or may have run; the request is not run again. */
   | {
       readonly kind: 'outcome_unknown';
       readonly verdict: 'may_have_run' | 'ran';
     }
-  /** The claim could not be settled: this attempt was not sent. */
+  /** The claim could not be established: the request was not sent. */
   | {readonly kind: 'unavailable'; readonly retryAfterMs: number};
 
 /** How a sent attempt ended; `not_run` only if that is certain. */
@@ -68,7 +69,7 @@
 export type ClaimEffect =
   TableEffect | {readonly kind: 'decide'; readonly decision: ClaimDecision};
 
-/** One attempt's dealings with its claim row. */
+/** State of one attempt's claim. */
 export interface ClaimState {
   readonly key: string;
   readonly owner: ClaimOwner;
@@ -76,8 +77,9 @@
   readonly call: number;
   readonly tries: number;
   /**
-   * `claiming`: before the decision. `held`: sent. `settling`: the row is to
-   * get `goal`; the decision has been told. `done`: nothing more to do.
+   * `claiming`: before the decision. `held`: the claim is this attempt's and the
+   * request is sent. `settling`: `goal` is being written to the row; the decision
+   * has been emitted. `done`: nothing more to do.
    */
   readonly phase: 'claiming' | 'held' | 'settling' | 'done';
   readonly goal: ClaimStatus;
@@ -91,8 +93,8 @@
 const RETRY_AFTER_MS = 1000;
 
 /**
- * Starts to claim a key for one attempt. `liveIncarnations` only chooses
- * between the answers "in progress" and "outcome unknown": neither runs it.
+ * Starts to claim a key for one attempt. `liveIncarnations` only decides between
+ * the answers "in progress" and "outcome unknown"; neither runs the request.
  *
  * @example
  * let {state, effects} = beginClaim({clientAccount, idempotencyKey, owner});
@@ -116,7 +118,7 @@
 }
 
 /**
- * Takes in the result of an effect or the end of the attempt.
+ * Handles the result of an effect or the end of the attempt.
  *
  * @example
  * ({state, effects} = transitionClaim(state, event));
@@ -137,13 +139,13 @@
     case 'waited':
       return readBack(state);
     case 'read_answered':
-      return takeRows(state, event.result);
+      return handleReadResult(state, event.result);
     case 'transaction_answered':
-      return takeWrite(state, event.result);
+      return handleWriteResult(state, event.result);
   }
 }
 
-/** Writes the goal, on the row as it was last seen. */
+/** Writes the goal, conditional on the row's last known version. */
 function write(state: ClaimState): ClaimStep {
   const value: ClaimValue = {...state.owner, status: state.goal};
   const transaction: TableTransaction = {
@@ -161,20 +163,23 @@
   return startCall(state, call => ({kind: 'read', call, keys: [state.key]}));
 }
 
-function takeWrite(state: ClaimState, result: TransactionResult): ClaimStep {
+function handleWriteResult(
+  state: ClaimState,
+  result: TransactionResult,
+): ClaimStep {
   switch (result.kind) {
     case 'committed':
-      return reached(state, result.versions[state.key]);
+      return handleGoalReached(state, result.versions[state.key]);
     case 'conflict':
       return decideByRow(state, findRow(result.rows, state.key));
     case 'unknown':
-      // Sent without its claim, the request would run a second time when its
-      // caller asks again elsewhere. So the row is read before anything else.
+      // If the request were sent without its claim in the table, a retry of the
+      // caller at another instance would run it again. So the row is read first.
       return state.phase === 'claiming' ? readBack(state) : retryLater(state);
   }
 }
 
-function takeRows(state: ClaimState, result: ReadResult): ClaimStep {
+function handleReadResult(state: ClaimState, result: ReadResult): ClaimStep {
   if (result.kind === 'unavailable') {
     return retryLater(state);
   }
@@ -185,22 +190,26 @@
   const value = row.value as ClaimValue | null;
   const own = value?.attempt === state.owner.attempt;
   if (own && value.status.kind === state.goal.kind) {
-    return reached(state, row.version);
+    return handleGoalReached(state, row.version);
   }
   if (state.phase === 'settling') {
     return settleByRow(state, row, own);
   }
   if (value === null || value.status.kind === 'released') {
-    // Absent or free: what was sent may yet arrive. The same transaction again,
-    // on the same version, lets only one of the two take effect.
+    // Absent or released, but a transaction sent before may still arrive. It is
+    // sent again, conditional on the version just read, so that at most one of
+    // the two takes effect.
     return state.tries < MAX_CLAIM_TRIES
       ? write({...state, version: row.version})
       : abandon(state);
   }
-  return decide({...state, phase: 'done'}, decideByOther(state, value));
+  return decide({...state, phase: 'done'}, decideByOtherClaim(state, value));
 }
 
-function decideByOther(state: ClaimState, value: ClaimValue): ClaimDecision {
+function decideByOtherClaim(
+  state: ClaimState,
+  value: ClaimValue,
+): ClaimDecision {
   const {status} = value;
   if (value.fingerprint !== state.owner.fingerprint) {
     return {kind: 'content_conflict'};
@@ -217,8 +226,8 @@
     : {kind: 'outcome_unknown', verdict: 'may_have_run'};
 }
 
-/** The row has the goal. */
-function reached(state: ClaimState, version: number): ClaimStep {
+/** Goes on once the row has the goal. */
+function handleGoalReached(state: ClaimState, version: number): ClaimStep {
   if (state.phase === 'settling') {
     return {state: {...state, phase: 'done', version}, effects: []};
   }
@@ -230,16 +239,17 @@
 }
 
 /**
- * Refuses as not run. The claim may yet arrive and would block the key with an
- * attempt that never ends, so this attempt, and no other, puts a released row
- * in its place; on a free row too, which makes a late claim fail.
+ * Refuses the request as not run. The claim's transaction may still arrive and
+ * would block the key with an attempt that never ends, so this attempt (and no
+ * other) replaces its claim by a released row. It writes that over an absent or
+ * released row too, which makes a late claim fail.
  */
 function abandon(state: ClaimState): ClaimStep {
   const goal = {kind: 'released'} as const;
   const clearing = readBack({...state, phase: 'settling', goal, tries: 0});
   const decision = {kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS} as const;
-  const told = decide(clearing.state, decision);
-  return {...told, effects: [...told.effects, ...clearing.effects]};
+  const refusal = decide(clearing.state, decision);
+  return {...refusal, effects: [...refusal.effects, ...clearing.effects]};
 }
 
 function settle(state: ClaimState, end: AttemptEnd): ClaimStep {
@@ -249,8 +259,9 @@
 function statusOf(end: AttemptEnd): ClaimStatus {
   switch (end.kind) {
     case 'not_run':
-      // Not deleted: a deleted row could come back with the same version, and
-      // a late transaction of this attempt would then free another's claim.
+      // Not deleted: a deleted row could be created again with the same version,
+      // and a late transaction of this attempt would then release the claim of
+      // another.
       return {kind: 'released'};
     case 'ran':
       return {kind: 'answered', answer: end.answer};
@@ -265,7 +276,8 @@
   if (own || (free && state.goal.kind === 'released')) {
     return write({...state, version: row.version});
   }
-  // Another's by now, or expired: nothing of this attempt can arrive.
+  // The row is another attempt's by now, or expired: no transaction of this
+  // attempt can take effect any more.
   return {state: {...state, phase: 'done'}, effects: []};
 }
 
--- a/packages/agreement/src/claim_rows.ts
+++ b/packages/agreement/src/claim_rows.ts
@@ -15,7 +15,7 @@
 import type {Row, TableTransaction} from '@snipestage/types/table.js';
 import {digestOf} from './canonical_json.js';
 
-/** An answer as it is given again; `object` names a body in the object store. */
+/** A stored answer to replay; `object` names a body in the object store. */
 export interface KeptAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -24,7 +24,7 @@
     | {readonly kind: 'object'; readonly key: string};
 }
 
-/** Who claimed, for what content, and until when the row is kept. */
+/** The attempt that claimed, its request's content, and the row's expiry. */
 export interface ClaimOwner {
   readonly attempt: AttemptId;
   readonly fingerprint: Fingerprint;
@@ -33,14 +33,14 @@
   readonly expiresAtEpochMs: number;
 }
 
-/** How a claimed request stands. */
+/** Status of a claimed request. */
 export type ClaimStatus =
   /** Claimed; it may be running. */
   | {readonly kind: 'claimed'}
   | {readonly kind: 'answered'; readonly answer: KeptAnswer}
-  /** Sent, and either no answer settled it or its answer could not be kept. */
+  /** Sent; no answer showed whether it ran, or its answer couldn't be stored. */
   | {readonly kind: 'unknown'; readonly verdict: 'may_have_run' | 'ran'}
-  /** Certainly not run; the key is free again. */
+  /** Certainly not run; the key can be claimed again. */
   | {readonly kind: 'released'};
 
 /** Value of a claim row. */
@@ -51,11 +51,11 @@
 export const CLAIMS_PREFIX = 'claims/';
 const SHARD_DIGITS = 2;
 
-/** Number of prefixes that {@link claimShardPrefix} tells apart. */
+/** Number of shards, for {@link claimShardPrefix}. */
 export const CLAIM_SHARDS = 256;
 
 /**
- * Key of the claim row. Hashed, as callers choose their keys freely.
+ * Key of the claim row; a hash, as callers may choose any idempotency key.
  *
  * @example
  * const key = claimKey(account, brandAs<IdempotencyKey>('booking-17'));
@@ -69,7 +69,7 @@
 }
 
 /**
- * Prefix of one shard's rows, to be scanned for a cleanup.
+ * Prefix of one shard's rows, which a cleanup scans.
  *
  * @example
  * claimShardPrefix(255); // 'claims/ff/'
@@ -79,9 +79,9 @@
 }
 
 /**
- * Transactions that delete expired claims. Anyone may carry them out: each is
- * conditional on the row as it was read. Instances' clocks may differ by far
- * less than the retention.
+ * Transactions that delete expired claims. Any instance may carry them out, as
+ * each is conditional on the version that was read. Assumes that instances'
+ * clocks differ by far less than the retention.
  *
  * @example
  * const transactions = planClaimCleanup(rows, Date.now());
--- a/packages/agreement/src/lease.test.ts
+++ b/packages/agreement/src/lease.test.ts
@@ -28,15 +28,15 @@
   });
 }
 
-/** Feeds an event, answering the table's effects at once. */
+/** Feeds an event, and the results of the table calls that it leads to. */
 function feed(table: TableModel, state: LeaseState, event: LeaseEvent) {
   let step = transitionLease(state, event);
-  const heard = [];
+  const notices = [];
   for (;;) {
-    heard.push(...step.effects.filter(({kind}) => !CALLS.includes(kind)));
+    notices.push(...step.effects.filter(({kind}) => !CALLS.includes(kind)));
     const call = step.effects.find(({kind}) => CALLS.includes(kind));
     if (call === undefined) {
-      return {table, state: step.state, heard: heard.map(({kind}) => kind)};
+      return {table, state: step.state, notices: notices.map(({kind}) => kind)};
     }
     const done = carryOut(table, call as TableEffect, event.nowMs);
     table = done.table;
@@ -47,37 +47,40 @@
 const CALLS = ['read', 'scan', 'transact'];
 const tick = (nowMs: number) => ({kind: 'tick', nowMs}) as const;
 
-test('a graceful hand-over does not make the successor wait', t => {
+test('after a release the successor takes the lease without waiting', t => {
   const polled = feed(EMPTY_TABLE, begin('a'), tick(0));
   const taken = feed(polled.table, polled.state, tick(1));
-  t.deepEqual(taken.heard, ['acquired']);
+  t.deepEqual(taken.notices, ['acquired']);
   const waiting = feed(taken.table, begin('b'), tick(10));
-  t.deepEqual(feed(waiting.table, waiting.state, tick(11)).heard, []);
+  t.deepEqual(feed(waiting.table, waiting.state, tick(11)).notices, []);
   const left = feed(taken.table, taken.state, {kind: 'retire', nowMs: 100});
-  t.deepEqual(left.heard, ['lost']);
+  t.deepEqual(left.notices, ['lost']);
   const seen = feed(left.table, waiting.state, tick(1010));
   const successor = feed(seen.table, seen.state, tick(1011));
-  t.deepEqual(successor.heard, ['acquired']);
+  t.deepEqual(successor.notices, ['acquired']);
   t.is(successor.state.held?.fencingToken, brandAs<FencingToken>(2));
 });
 
-// A holder is told to stop while its renewal is on the way, and ticks no more.
-// Without the release its successor would leave orders lying for a whole term.
+// A holder shuts down while its renewal is under way, and gets no more ticks.
+// Without the release its successor could send no orders for a whole term.
 test('a lease is released after a renewal that was under way', t => {
   const polled = feed(EMPTY_TABLE, begin('a'), tick(0));
   const taken = feed(polled.table, polled.state, tick(1));
   const renewing = transitionLease(taken.state, tick(1500));
-  const told = transitionLease(renewing.state, {kind: 'retire', nowMs: 1501});
-  t.like(told.effects, [{kind: 'lost'}]);
+  const leaving = transitionLease(renewing.state, {
+    kind: 'retire',
+    nowMs: 1501,
+  });
+  t.like(leaving.effects, [{kind: 'lost'}]);
   const effect = renewing.effects[0] as TableEffect;
   const done = carryOut(taken.table, effect, 1502);
-  const left = feed(done.table, told.state, done.event);
+  const left = feed(done.table, leaving.state, done.event);
   t.true((left.table['leases/usage'].value as LeaseValue).released);
 });
 
-// The holder's process is stopped for longer than its term, then goes on. Were
-// it to go on in the lease's name, the platform would get orders from two.
-test('a paused holder finds its term over, a challenger waits for that', t => {
+// The holder's process is paused for longer than its term, then resumes. If it
+// still acted under the lease, the platform would get orders from two holders.
+test('a paused holder loses its term, a challenger waits until it has ended', t => {
   const polled = feed(EMPTY_TABLE, begin('a'), tick(0));
   const taken = feed(polled.table, polled.state, tick(1));
   t.truthy(leaseInForce(taken.state, 2500));
@@ -85,12 +88,12 @@
   let other = feed(taken.table, begin('b'), tick(10));
   for (const nowMs of [1010, 2010, 3010, 3509]) {
     other = feed(other.table, other.state, tick(nowMs));
-    t.deepEqual(other.heard, []);
+    t.deepEqual(other.notices, []);
   }
   other = feed(other.table, other.state, tick(3510));
-  t.deepEqual(other.heard, ['acquired']);
+  t.deepEqual(other.notices, ['acquired']);
   const resumed = feed(other.table, taken.state, tick(9000));
-  t.deepEqual(resumed.heard, ['lost']);
+  t.deepEqual(resumed.notices, ['lost']);
 });
 
 test('an unknown renewal does not lengthen the term', t => {
@@ -105,13 +108,13 @@
     result,
     nowMs: 2000,
   } as const;
-  const asked = transitionLease(renewing.state, event);
-  t.is(asked.state.held?.termEndsAtMs, 2501);
+  const readingBack = transitionLease(renewing.state, event);
+  t.is(readingBack.state.held?.termEndsAtMs, 2501);
 });
 
-// Answers are lost, renewals arrive late, clocks drift, processes pause: at no
-// time may two instances act in the name of one lease.
-test('no order of losses, pauses and drift puts two in charge', t => {
+// Answers are lost, renewals arrive late, clocks drift, processes pause: two
+// instances must never act under one lease at the same time.
+test('no order of losses, pauses and drift gives a lease two holders', t => {
   const sizes = [
     {lastToken: 1, losses: 1, driftMs: 1},
     {lastToken: 2, losses: 0, driftMs: 1},
@@ -125,14 +128,14 @@
   }
 });
 
-test('the model finds a margin that was dropped', t => {
+test('the model catches a lease without a margin', t => {
   const mutant = createLeaseModel({orders: false, marginMs: 0, losses: 0});
   const {violation, trace} = explore(mutant, LIMIT);
   t.log(violation, 'after', trace.length, 'actions');
   t.is(violation, 'two believe that they are in charge');
 });
 
-/** A renewal that counts up from the row, so that two can look alike. */
+/** Numbers a renewal from the row, so that two renewals can be equal. */
 function countFromRow(step: LeaseStep): LeaseStep {
   const {pending, seen} = step.state;
   if (pending?.kind !== 'write') {
@@ -151,7 +154,7 @@
   return {state: {...step.state, pending: {...pending, wanted}}, effects};
 }
 
-test('the model finds renewals that can not be told apart', t => {
+test('the model catches renewals that cannot be told apart', t => {
   const mutant = createLeaseModel({
     orders: false,
     lastToken: 1,
--- a/packages/agreement/src/lease.ts
+++ b/packages/agreement/src/lease.ts
@@ -1,15 +1,17 @@
 /**
  * Lease with a fencing token, after C. Gray and D. Cheriton, "Leases" (1989):
- * at most one holder believes that it is in charge, without clocks that agree.
+ * at most one instance considers itself the holder at any time, without
+ * synchronized clocks.
  *
- * The holder counts its term from before it sent the renewal, less a margin. A
- * challenger takes over only after it has seen the row unchanged for a term and
- * a margin, from after it first read it. The margin covers clocks that run at
- * different speeds. A clock that stands still while its machine is suspended is
- * beyond that: such a holder may believe in its term for too long, so instances
- * must run on a clock that counts suspension, or not be suspended.
+ * The holder counts its term from the moment before it sent the renewal, less a
+ * margin. A challenger takes a lease that was not released only after the row
+ * has stayed unchanged for a term and a margin, counted from the moment after it
+ * first read that row. The margin covers clocks that run at different speeds. It
+ * does not cover a clock that stops while its machine is suspended: such a holder
+ * may consider its term valid for too long, so instances must use a clock that
+ * counts suspension, or not be suspended.
  *
- * Store calls a lease: `1 / renewEvery` writes a second by the holder and
+ * Table calls per lease: `1 / renewEvery` writes a second by the holder and
  * `c / pollEvery` reads a second by its `c` challengers.
  */
 
@@ -20,9 +22,9 @@
   LeaseName,
 } from '@snipestage/types/ids.js';
 import type {Row} from '@snipestage/types/table.js';
-import {takeRows, takeWrite} from './lease_answers.js';
+import {handleReadResult, handleWriteResult} from './lease_answers.js';
 import {leaseKey, type LeaseTerm, type LeaseValue} from './lease_rows.js';
-import {lose, renew, retire, take} from './lease_writes.js';
+import {endHeldTerm, renew, retire, startNewTerm} from './lease_writes.js';
 import {
   startCall,
   type Step,
@@ -30,7 +32,7 @@
   type TableEvent,
 } from './table_effects.js';
 
-/** How a lease is kept. */
+/** Options of {@link beginLease}. */
 export interface LeaseOptions {
   readonly name: LeaseName;
   readonly instance: InstanceId;
@@ -41,38 +43,38 @@
   readonly pollEveryMs: number;
 }
 
-/** A term of one's own. */
+/** The term that this instance holds. */
 export interface HeldLease extends LeaseTerm {
-  /** From here on the lease may be another's. */
+  /** From this instant on another instance may hold the lease. */
   readonly termEndsAtMs: number;
   readonly renewedAtMs: number;
-  /** The holder before gave it up; it may have acted a moment ago. */
+  /** The former holder released the lease; it may have acted a moment ago. */
   readonly followsRelease: boolean;
 }
 
-/** What one instance knows of a lease. */
+/** State of a lease at one instance. */
 export interface LeaseState {
   readonly options: LeaseOptions;
   readonly call: number;
   /** The call under way. */
   readonly pending: PendingLeaseCall | undefined;
-  /** The row as last seen, and since when it has been like that. */
+  /** The row as last read or written, and since when its version is known. */
   readonly seen: {readonly row: Row; readonly sinceMs: number} | undefined;
   readonly polledAtMs: number | undefined;
   readonly held: HeldLease | undefined;
-  /** Gives the lease up and does not take it again. */
+  /** Releases the lease and does not take it again. */
   readonly retiring: boolean;
 }
 
 /** A call under way. */
 export type PendingLeaseCall = {readonly kind: 'poll'} | PendingLeaseWrite;
 
-/** A write whose result is awaited, or read back. */
+/** A write whose result is awaited, or whose row is being read back. */
 export interface PendingLeaseWrite {
   readonly kind: 'write' | 'read_back';
-  /** The row's value if it takes effect. */
+  /** The row's value if the write takes effect. */
   readonly wanted: LeaseValue;
-  /** Starts a term under a new token, rather than prolongs one. */
+  /** Starts a term under a new token rather than renewing or releasing one. */
   readonly takes: boolean;
   readonly sentAtMs: number;
   /** See {@link HeldLease.followsRelease}. */
@@ -81,16 +83,16 @@
 
 export type LeaseEvent =
   | TableEvent
-  /** To be given often, a small part of `renewEveryMs` apart. */
+  /** Must come often, at intervals of a small part of `renewEveryMs`. */
   | {readonly kind: 'tick'; readonly nowMs: number}
-  /** Graceful shutdown, once nothing is under way in the lease's name. */
+  /** Graceful shutdown, once nothing is under way under the lease. */
   | {readonly kind: 'retire'; readonly nowMs: number};
 
 export type LeaseEffect =
   | TableEffect
   | {readonly kind: 'acquired'; readonly held: HeldLease}
   | {readonly kind: 'extended'; readonly held: HeldLease}
-  /** Stop at once: reset connections that carry orders, drop what is planned. */
+  /** Stop at once: reset connections that carry orders, drop planned work. */
   | {readonly kind: 'lost'; readonly fencingToken: FencingToken};
 
 export type LeaseStep = Step<LeaseState, LeaseEffect>;
@@ -112,8 +114,8 @@
 }
 
 /**
- * The lease, if one may act in its name right now. To be asked in the same turn
- * of the event loop in which an order's bytes are handed over.
+ * The term, if this instance may act under the lease at `nowMs`. Must be called
+ * in the same turn of the event loop in which an order's bytes are written.
  *
  * @example
  * const mayStillSend = () => leaseInForce(state, now()) !== undefined;
@@ -127,7 +129,7 @@
 }
 
 /**
- * Takes in a tick, a result or the wish to give the lease up.
+ * Handles a tick, the result of a call, or the request to release the lease.
  *
  * @example
  * const {state, effects} = transitionLease(before, {kind: 'tick', nowMs});
@@ -137,19 +139,20 @@
   event: LeaseEvent,
 ): LeaseStep {
   const state = event.kind === 'retire' ? {...before, retiring: true} : before;
-  const lapsed = dropLapsed(state, event.nowMs);
-  const step = react(lapsed.state, event);
-  const last = releaseAfter(state.pending, step, event.nowMs);
-  const effects = [...lapsed.effects, ...step.effects, ...last.effects];
+  const expiry = endExpiredTerm(state, event.nowMs);
+  const step = handleEvent(expiry.state, event);
+  const last = releaseAfterPending(state.pending, step, event.nowMs);
+  const effects = [...expiry.effects, ...step.effects, ...last.effects];
   return {state: last.state, effects};
 }
 
 /**
- * A process that stops gives no more ticks: what was under way when it was told
- * to retire is followed by the release at once, or the successor would wait for
- * the whole term. A release that failed is left to a tick, if there is one.
+ * Releases the lease as soon as the call that was under way at `retire` has
+ * ended: a process that stops sends no more ticks, and without the release its
+ * successor would wait for the whole term. A release that failed is repeated by
+ * the next tick, if there is one.
  */
-function releaseAfter(
+function releaseAfterPending(
   former: PendingLeaseCall | undefined,
   {state}: LeaseStep,
   nowMs: number,
@@ -161,37 +164,37 @@
     : {state, effects: []};
 }
 
-function react(state: LeaseState, event: LeaseEvent): LeaseStep {
+function handleEvent(state: LeaseState, event: LeaseEvent): LeaseStep {
   switch (event.kind) {
     case 'tick':
       return state.pending === undefined
-        ? act(state, event.nowMs)
+        ? startNextCall(state, event.nowMs)
         : {state, effects: []};
     case 'retire':
       return state.pending === undefined
-        ? act(state, event.nowMs)
-        : lose(state);
+        ? startNextCall(state, event.nowMs)
+        : endHeldTerm(state);
     case 'read_answered':
       return event.call === state.call
-        ? takeRows(state, event.result, event.nowMs)
+        ? handleReadResult(state, event.result, event.nowMs)
         : {state, effects: []};
     case 'transaction_answered':
       return event.call === state.call
-        ? takeWrite(state, event.result, event.nowMs)
+        ? handleWriteResult(state, event.result, event.nowMs)
         : {state, effects: []};
     case 'waited':
       return {state, effects: []};
   }
 }
 
-function dropLapsed(state: LeaseState, nowMs: number): LeaseStep {
+function endExpiredTerm(state: LeaseState, nowMs: number): LeaseStep {
   const lapsed =
     state.held !== undefined && leaseInForce(state, nowMs) === undefined;
-  return lapsed ? lose(state) : {state, effects: []};
+  return lapsed ? endHeldTerm(state) : {state, effects: []};
 }
 
-/** Nothing is under way: renew, release, take, poll, or leave it. */
-function act(state: LeaseState, nowMs: number): LeaseStep {
+/** Renews, releases, takes or polls, if due; no call may be under way. */
+function startNextCall(state: LeaseState, nowMs: number): LeaseStep {
   const {options, held, seen, polledAtMs} = state;
   if (state.retiring) {
     return retire(state, nowMs);
@@ -201,7 +204,7 @@
     return due ? renew(state, seen.row, nowMs) : {state, effects: []};
   }
   if (seen !== undefined && isFree(state, seen, nowMs)) {
-    return take(state, seen.row, nowMs);
+    return startNewTerm(state, seen.row, nowMs);
   }
   const due =
     polledAtMs === undefined || nowMs - polledAtMs >= options.pollEveryMs;
@@ -214,7 +217,7 @@
   nowMs: number,
 ): boolean {
   const value = seen.row.value as LeaseValue | null;
-  // One's own former term is over, or it would be held; no need to wait for it.
+  // A former term of this instance is over, as none is held: no need to wait.
   const own = value?.incarnation === options.incarnation;
   return (
     value === null ||
--- a/packages/agreement/src/lease_answers.ts
+++ b/packages/agreement/src/lease_answers.ts
@@ -1,6 +1,6 @@
 /**
- * What a result says of a lease: whose it is, and whether a write of one's own
- * has started or prolonged a term.
+ * Handles results of table calls for a lease: who holds it, and whether a write
+ * of this instance started or renewed a term.
  */
 
 import type {
@@ -17,14 +17,14 @@
 import {
   fenceKey,
   leaseKey,
-  versionOfOwn,
+  matchingFenceVersion,
   type LeaseValue,
 } from './lease_rows.js';
-import {lose} from './lease_writes.js';
+import {endHeldTerm} from './lease_writes.js';
 import {findRow, startCall} from './table_effects.js';
 
-/** The result of a write; whatever is in doubt is read back. */
-export function takeWrite(
+/** Handles the result of a write; unless it committed, the row is read back. */
+export function handleWriteResult(
   state: LeaseState,
   result: TransactionResult,
   nowMs: number,
@@ -34,8 +34,9 @@
     return {state, effects: []};
   }
   if (result.kind !== 'committed') {
-    // Unknown: neither a term nor its loss may be read into it. Conflict: the
-    // row may be one's own, by a write whose answer was lost. Both are read.
+    // Unknown: shows neither that a term started nor that it is lost. Conflict:
+    // a write of this instance whose answer was lost may have changed the row.
+    // Both are settled by reading the row back.
     return readBack(state, pending);
   }
   const key = leaseKey(options.name);
@@ -51,8 +52,8 @@
   return startCall({...state, pending}, call => ({kind: 'read', call, keys}));
 }
 
-/** The row, from a poll or read back after a write. */
-export function takeRows(
+/** Handles the row, from a poll or read back after a write. */
+export function handleReadResult(
   state: LeaseState,
   result: ReadResult,
   nowMs: number,
@@ -64,12 +65,12 @@
   const row = findRow(result.rows, leaseKey(name));
   if (state.pending?.kind === 'read_back') {
     const fence = findRow(result.rows, fenceKey(name));
-    return settleWrite(state, row, versionOfOwn(fence, row), nowMs);
+    return settleWrite(state, row, matchingFenceVersion(fence, row), nowMs);
   }
   return {state: noteRow(state, row, nowMs), effects: []};
 }
 
-/** The row is known after a write; a term counts from before it was sent. */
+/** Applies the row known after a write; a term counts from before its sending. */
 function settleWrite(
   state: LeaseState,
   row: Row,
@@ -83,7 +84,7 @@
   }
   const value = row.value as LeaseValue | null;
   if (value === null || value.incarnation !== pending.wanted.incarnation) {
-    return lose(noted);
+    return endHeldTerm(noted);
   }
   const tookEffect = value.renewals === pending.wanted.renewals;
   if (!tookEffect || value.released) {
@@ -102,8 +103,9 @@
   const version = takes ? fenceVersion : state.held?.fenceVersion;
   const termEndsAtMs = sentAtMs + termMs - marginMs;
   if (version === undefined || nowMs >= termEndsAtMs) {
-    // Over before it was known of: the next tick takes it with a higher token.
-    return lose(state);
+    // The term ended before its start was known, or the fence's version isn't
+    // known: the next tick takes the lease under a higher token.
+    return endHeldTerm(state);
   }
   const held: HeldLease = {
     fencingToken: wanted.fencingToken,
--- a/packages/agreement/src/lease_rows.ts
+++ b/packages/agreement/src/lease_rows.ts
@@ -11,14 +11,14 @@
 } from '@snipestage/types/ids.js';
 import type {Row, TableTransaction} from '@snipestage/types/table.js';
 
-/** Value of a lease row; it is never deleted, so that tokens only rise. */
+/** Value of a lease row; the row is never deleted, so that tokens only rise. */
 export interface LeaseValue {
   readonly holder: InstanceId;
   readonly incarnation: Incarnation;
   readonly fencingToken: FencingToken;
-  /** Unlike in any two writes of one incarnation; rises. */
+  /** Rises with each write of an incarnation, so that no two have the same. */
   readonly renewals: number;
-  /** Given up by its holder: a successor need not wait. */
+  /** Released by its holder: a successor need not wait for the term to end. */
   readonly released: boolean;
 }
 
@@ -27,10 +27,10 @@
   readonly fencingToken: FencingToken;
 }
 
-/** The term in whose name something is done. */
+/** The term of a lease under which orders or transactions are sent. */
 export interface LeaseTerm {
   readonly fencingToken: FencingToken;
-  /** Version of the fence row: what a guarded transaction checks. */
+  /** Version of the fence row, which a guarded transaction checks. */
   readonly fenceVersion: number;
 }
 
@@ -43,8 +43,8 @@
 }
 
 /**
- * Key of the row that transactions in the lease's name check. Renewals leave it
- * alone, so they don't make such transactions fail.
+ * Key of the row that transactions under the lease check. Renewals don't write
+ * it, so they don't make such transactions fail.
  *
  * @example
  * fenceKey(brandAs<LeaseName>('orders/akl-a')); // 'fences/orders/akl-a'
@@ -54,12 +54,13 @@
 }
 
 /**
- * The fence's version, unless the lease changed hands after its row was read.
+ * The fence row's version; undefined if its token differs from the lease row's,
+ * as the lease changed hands between the reads of the two rows.
  *
  * @example
  * const fenceVersion = versionOfOwn(fence, row);
  */
-export function versionOfOwn(fence: Row, row: Row): number | undefined {
+export function matchingFenceVersion(fence: Row, row: Row): number | undefined {
   const token = (fence.value as FenceValue | null)?.fencingToken;
   const own = (row.value as LeaseValue | null)?.fencingToken === token;
   return own ? fence.version : undefined;
@@ -67,7 +68,7 @@
 
 /**
  * The transaction that takes, renews or releases a lease, if its row is still
- * as it was read.
+ * at the version that was read.
  *
  * @example
  * const transaction = composeLeaseWrite({name, row, wanted, takes: true});
--- a/packages/agreement/src/lease_writes.ts
+++ b/packages/agreement/src/lease_writes.ts
@@ -5,8 +5,8 @@
 import type {LeaseState, LeaseStep} from './lease.js';
 import {composeLeaseWrite, type LeaseValue} from './lease_rows.js';
 
-/** Stops acting in the lease's name. */
-export function lose(state: LeaseState): LeaseStep {
+/** Ends the term that this instance holds, if any, without a write. */
+export function endHeldTerm(state: LeaseState): LeaseStep {
   if (state.held === undefined) {
     return {state, effects: []};
   }
@@ -17,8 +17,12 @@
   };
 }
 
-/** Begins a term under the next token; the row must be free to take. */
-export function take(state: LeaseState, row: Row, nowMs: number): LeaseStep {
+/** Starts a term under the next fencing token; the lease must be free. */
+export function startNewTerm(
+  state: LeaseState,
+  row: Row,
+  nowMs: number,
+): LeaseStep {
   const former = (row.value as LeaseValue | null)?.fencingToken ?? 0;
   const {instance: holder, incarnation} = state.options;
   const wanted = {
@@ -30,19 +34,19 @@
   return write(state, row, {wanted, takes: true, nowMs});
 }
 
-/** Prolongs the term. */
+/** Renews the term. */
 export function renew(state: LeaseState, row: Row, nowMs: number): LeaseStep {
   const wanted = row.value as LeaseValue;
   return write(state, row, {wanted, takes: false, nowMs});
 }
 
-/** Gives the lease up, if the row is still one's own. */
+/** Ends the term and releases the lease, if its row is still this instance's. */
 export function retire(state: LeaseState, nowMs: number): LeaseStep {
   const row = state.seen?.row;
   const value = (row?.value ?? null) as LeaseValue | null;
   const own = value?.incarnation === state.options.incarnation;
-  // A successor may act as soon as the row says so: stop first, then write.
-  const lost = lose(state);
+  // A successor may act as soon as the row is released, so the term ends first.
+  const lost = endHeldTerm(state);
   if (row === undefined || !own || value.released) {
     return lost;
   }
@@ -63,9 +67,9 @@
   const call = state.call + 1;
   const {name} = state.options;
   const {takes} = what;
-  // Two renewals that look alike could not be told apart when read back: one
-  // that was given up and arrived late would be taken for the later one, and
-  // the term counted from too late. So each write has a number of its own.
+  // Each write has its own number, so that writes can be told apart when the row
+  // is read back. Otherwise a renewal that was given up and arrived late could be
+  // taken for a later one, and the term would be counted from too late a time.
   const wanted: LeaseValue = {...what.wanted, renewals: call};
   const transaction = composeLeaseWrite({name, row, wanted, takes});
   const former = row.value as LeaseValue | null;
--- a/packages/agreement/src/models/usage_model.ts
+++ b/packages/agreement/src/models/usage_model.ts
@@ -99,7 +99,7 @@
     lease: LEASE,
     windowMs: 1,
     graceMs: 0,
-    keepCountersMs: 1,
+    counterRetentionMs: 1,
   });
 }
 
--- a/packages/agreement/src/order_messages.ts
+++ b/packages/agreement/src/order_messages.ts
@@ -1,4 +1,4 @@
-/** What the sender of orders is told, what it asks for, and where it stands. */
+/** Events, effects and state of the protocol that sends orders. */
 
 import type {LeaseName} from '@snipestage/types/ids.js';
 import type {OrderResult} from '@snipestage/types/platform_messages.js';
@@ -6,19 +6,19 @@
 import type {Order, OrderContent} from './order_rows.js';
 import type {Step, TableEffect, TableEvent} from './table_effects.js';
 
-/** How an order ended. */
+/** Result of sending an order. */
 export type OrderAnswer =
   | OrderResult
-  /** The guard said no: no byte of it left. */
+  /** The lease was not in force when it was to be sent: no byte was written. */
   | {readonly kind: 'not_sent'}
-  /** The receiver knows a higher token: this holder is not in charge. */
+  /** The receiver knows a higher token: this holder has been replaced. */
   | {readonly kind: 'stale_token'};
 
 export type OrdersEvent =
   | TableEvent
   | {readonly kind: 'acquired'; readonly held: LeaseTerm}
   | {readonly kind: 'lost'}
-  /** All that should be so; given again, it retries what was refused. */
+  /** All desired contents; each such event also retries refused targets. */
   | {readonly kind: 'desired'; readonly contents: readonly OrderContent[]}
   | {
       readonly kind: 'order_answered';
@@ -28,7 +28,7 @@
 
 export type OrdersEffect =
   | TableEffect
-  /** Send it if `leaseInForce` in the turn in which its bytes leave. */
+  /** Send it only if `leaseInForce` in the turn that writes its bytes. */
   | {readonly kind: 'order'; readonly call: number; readonly order: Order}
   | {
       readonly kind: 'refused';
@@ -36,30 +36,30 @@
       readonly reason: string;
     };
 
-/** The order being worked on. */
+/** An order that is being sent, or is still to be settled. */
 export interface CurrentOrder {
   readonly order: Order;
   readonly phase: 'recording' | 'sending' | 'clearing';
-  /** Version of its intent row; 0 if it has none (yet). */
+  /** Version of its intent row; 0 if it has none, or none yet. */
   readonly version: number;
   readonly recorded: boolean;
-  /** Absent for a predecessor's. */
+  /** Undefined for an order of a predecessor. */
   readonly content: OrderContent | undefined;
   readonly tries: number;
 }
 
-/** What a holder, or one who isn't, knows of its orders. */
+/** State of the orders under a lease, whether this instance holds it or not. */
 export interface OrdersState {
   readonly lease: LeaseName;
   readonly term: LeaseTerm | undefined;
   readonly call: number;
   readonly sequence: number;
   readonly scanning: boolean;
-  /** Predecessors' intents that are still to be settled. */
+  /** Orders of predecessors whose intents are still to be settled. */
   readonly open: readonly CurrentOrder[];
   readonly current: CurrentOrder | undefined;
   readonly desired: readonly OrderContent[];
-  /** By target: the content that was accepted in this term. */
+  /** By target, the canonical JSON of the content accepted in this term. */
   readonly accepted: Readonly<Record<string, string>>;
   readonly refusedTargets: readonly string[];
 }
--- a/packages/agreement/src/order_rows.ts
+++ b/packages/agreement/src/order_rows.ts
@@ -27,7 +27,7 @@
   | {readonly kind: 'endpoints'; readonly order: EndpointOrder}
   | {readonly kind: 'engine'; readonly order: EngineOrder};
 
-/** What is to be ordered: the absolute state of one target. */
+/** Content of an order: the absolute state of one target. */
 export type OrderContent =
   | {
       readonly kind: 'endpoints';
@@ -40,7 +40,7 @@
       readonly checksFencing: boolean;
     };
 
-/** Value of an intent row: the order as it is or was to be sent. */
+/** Value of an intent row: the order that is sent under it. */
 export interface IntentValue {
   readonly order: Order;
 }
@@ -48,7 +48,7 @@
 const NUMBER_DIGITS = 12;
 
 /**
- * What an order sets; a later order for the same target replaces it.
+ * The target that an order sets; a later order for the same target replaces it.
  *
  * @example
  * targetOf(content); // 'endpoints/akl-a/repair/cheap'
@@ -64,7 +64,7 @@
 }
 
 /**
- * Prefix of the open intents under a lease; scans give the oldest first.
+ * Prefix of the open intents under a lease; scans return the oldest first.
  *
  * @example
  * intentPrefix(brandAs<LeaseName>('orders/akl-a')); // 'intents/orders/akl-a/'
@@ -74,7 +74,7 @@
 }
 
 /**
- * Key of an order's intent row; its id is what follows `intents/`.
+ * Key of an order's intent row: the order's id after `intents/`.
  *
  * @example
  * const key = intentKey(order.id);
@@ -109,7 +109,7 @@
 }
 
 /**
- * An id that no other holder and no other order has.
+ * An id that is unique to the order: no other holder has the same token.
  *
  * @example
  * composeOrderId(lease, fencingToken, 3);
@@ -140,8 +140,8 @@
 }
 
 /**
- * Whether it has to be announced before it is sent: its receiver does not
- * refuse old tokens by itself.
+ * Whether an order needs an intent row before it is sent, as its receiver does
+ * not itself refuse old fencing tokens.
  *
  * @example
  * needsIntent(content); // true for the platform
--- a/packages/agreement/src/orders.test.ts
+++ b/packages/agreement/src/orders.test.ts
@@ -22,7 +22,7 @@
   return {kind: 'engine', checksFencing, order};
 }
 
-/** Feeds events; orders get the answers in turn, then no more is done. */
+/** Feeds events; orders get the answers in turn, and none once they run out. */
 function run(
   events: OrdersEvent[],
   answers: OrderAnswer[],
@@ -54,7 +54,7 @@
   return {kind: 'order_answered', call, answer};
 }
 
-test('an order is announced, sent, repeated until known, and cleared', t => {
+test('an order is announced, sent until its result is known, and cleared', t => {
   const desired = {kind: 'desired', contents: [engineContent(false)]} as const;
   const acquired = {kind: 'acquired', held: HELD} as const;
   const {seen, table} = run(
@@ -66,7 +66,7 @@
   t.deepEqual(Object.keys(table), []);
 });
 
-test('an engine that checks tokens needs no intent; refusals are told', t => {
+test('an engine that checks tokens needs no intent; refusals are reported', t => {
   const desired = {kind: 'desired', contents: [engineContent(true)]} as const;
   const events = [{kind: 'acquired', held: HELD} as const, desired, desired];
   const refused = {kind: 'refused', reason: 'no memory'} as const;
@@ -76,10 +76,10 @@
   t.is(again.state.term, undefined);
 });
 
-// A holder is paused with an order on its way, another takes over and orders
-// something else, then the first order arrives. The firm would get back the
-// endpoints that it had just given up.
-test('no late order undoes one of a later holder', t => {
+// A holder is paused with an order under way, another instance takes over and
+// orders something else, then the first order arrives. It would, for example,
+// order endpoints again that the later holder has just released.
+test('a late order never reverts one of a later holder', t => {
   const sizes = [
     {lastToken: 2, losses: 0},
     {lastToken: 1, losses: 1},
@@ -92,7 +92,7 @@
   }
 });
 
-test('the model finds open intents that are not settled', t => {
+test('the model catches open intents that are not settled', t => {
   const mutant = createLeaseModel({
     losses: 0,
     driftMs: 0,
@@ -110,10 +110,10 @@
   );
 });
 
-// A holder is paused; its lease goes to another, which changes the fence row.
-// Announced all the same, the paused one's order would be sent, and settled by
-// the new holder after its own.
-test('an order is not announced, let alone sent, once the lease has changed hands', t => {
+// A holder is paused, and its lease goes to another, which changes the fence
+// row. If the paused holder still wrote its intent row, its order would be sent,
+// and the new holder would settle it after its own orders.
+test('an order is neither announced nor sent once the lease has changed hands', t => {
   const lease = brandAs<LeaseName>('orders/akl-a');
   const taken = carryOut(
     EMPTY_TABLE,
--- a/packages/agreement/src/orders.ts
+++ b/packages/agreement/src/orders.ts
@@ -1,18 +1,18 @@
 /**
- * Orders in the name of a lease, one at a time: an intent row first, conditional
- * on the fence row, then the order under the same id, then the row is deleted.
- * A new holder settles its predecessor's open intents under their own ids
- * before anything new, so that an order of the predecessor which arrives late
- * has an id that was carried out and changes nothing.
+ * Sends orders under a lease, one at a time: an intent row is written,
+ * conditional on the fence row, then the order is sent under the same id, then
+ * the row is deleted. A new holder settles its predecessor's open intents under
+ * their own ids before it sends anything new, so that an order of the predecessor
+ * that arrives late has an id that was already carried out and changes nothing.
  *
- * Engines that check fencing tokens get the order without an intent row: a late
- * older one is refused by the engine itself. For those that don't, the row is
- * written as for the platform. An engine does not promise to carry an id out
- * once; there the reset of the connection at the term's end is what keeps a
- * late order out, and a process frozen across it is the remaining gap.
+ * Engines that check fencing tokens get the order without an intent row, as the
+ * engine itself refuses a late older one. For other engines the row is written as
+ * for the platform. But engines do not guarantee to carry out an id only once:
+ * for those without a token check, resetting the connection at the term's end
+ * keeps a late order out. A process that is frozen at that moment remains a gap.
  *
- * Store calls: two writes an order (none for an engine that checks tokens), one
- * scan for each change of holder.
+ * Table calls: two writes per order (none for an engine that checks tokens), and
+ * one scan for each change of holder.
  */
 
 import type {LeaseName} from '@snipestage/types/ids.js';
@@ -35,7 +35,7 @@
   findOutstanding,
   noteAccepted,
   noteRefused,
-  takeUp,
+  startOrder,
 } from './outstanding_orders.js';
 import {findRow, retryDelayMs, startCall} from './table_effects.js';
 
@@ -59,7 +59,8 @@
 }
 
 /**
- * Takes in what became of the lease, of an effect, or of the plan.
+ * Handles a change of the lease, the result of an effect, or new desired
+ * contents.
  *
  * @example
  * ({state, effects} = transitionOrders(state, {kind: 'desired', contents}));
@@ -70,9 +71,9 @@
 ): OrdersStep {
   switch (event.kind) {
     case 'acquired':
-      return scan({...standDown(state), term: event.held});
+      return scan({...resetTerm(state), term: event.held});
     case 'lost':
-      return {state: standDown(state), effects: []};
+      return {state: resetTerm(state), effects: []};
     case 'desired':
       return startNext({
         ...state,
@@ -81,7 +82,7 @@
       });
     default:
       return state.term !== undefined && event.call === state.call
-        ? takeResult(state, event)
+        ? handleResult(state, event)
         : {state, effects: []};
   }
 }
@@ -91,21 +92,21 @@
   {readonly kind: 'acquired' | 'lost' | 'desired'}
 >;
 
-function takeResult(state: OrdersState, event: OrderResultEvent): OrdersStep {
+function handleResult(state: OrdersState, event: OrderResultEvent): OrdersStep {
   switch (event.kind) {
     case 'waited':
-      return repeat(state);
+      return retryNow(state);
     case 'read_answered':
-      return takeIntents(state, event.result);
+      return handleOpenIntents(state, event.result);
     case 'order_answered':
-      return takeAnswer(state, event.answer);
+      return handleOrderAnswer(state, event.answer);
     case 'transaction_answered':
-      return takeCommit(state, event.result);
+      return handleIntentWriteResult(state, event.result);
   }
 }
 
-/** The call number rises, so that results of the former term pass unheard. */
-function standDown(state: OrdersState): OrdersState {
+/** Raises the call number, so that results of the former term are ignored. */
+function resetTerm(state: OrdersState): OrdersState {
   const empty = beginOrders(state.lease);
   return {...empty, call: state.call + 1, desired: state.desired};
 }
@@ -119,9 +120,9 @@
   }));
 }
 
-function takeIntents(state: OrdersState, result: ReadResult): OrdersStep {
+function handleOpenIntents(state: OrdersState, result: ReadResult): OrdersStep {
   if (result.kind === 'unavailable') {
-    return waitToRepeat(state, 1);
+    return scheduleRetry(state, 1);
   }
   const open = result.rows.map(({value, version}): CurrentOrder => ({
     order: (value as IntentValue).order,
@@ -146,10 +147,10 @@
   if (content === undefined) {
     return {state, effects: []};
   }
-  return perform(takeUp(state, state.term, content));
+  return perform(startOrder(state, state.term, content));
 }
 
-/** Carries out, or repeats, the phase that the current order is in. */
+/** Carries out, or repeats, the phase of the current order. */
 function perform(state: OrdersState): OrdersStep {
   const {current} = state;
   switch (current?.phase) {
@@ -166,7 +167,7 @@
   }
 }
 
-/** Writes the intent row, if the lease has not changed hands. */
+/** Writes or deletes the intent row, if the lease has not changed hands. */
 function transact(
   state: OrdersState,
   current: CurrentOrder,
@@ -183,7 +184,10 @@
   return startCall(state, call => ({kind: 'transact', call, transaction}));
 }
 
-function takeCommit(state: OrdersState, result: TransactionResult): OrdersStep {
+function handleIntentWriteResult(
+  state: OrdersState,
+  result: TransactionResult,
+): OrdersStep {
   const current = state.current!;
   const key = intentKey(current.order.order.id);
   switch (result.kind) {
@@ -192,20 +196,22 @@
     case 'conflict': {
       const fence = fenceKey(state.lease);
       if (result.rows.some(row => row.key === fence)) {
-        return {state: standDown(state), effects: []};
+        return {state: resetTerm(state), effects: []};
       }
-      // Only this holder writes the row: an earlier try, taken for lost, did.
+      // Only this holder writes the row, so an earlier try whose outcome was
+      // unknown has taken effect.
       return advance(state, findRow(result.rows, key).version);
     }
     case 'unknown':
-      // Sent without its intent, the order would be unknown to a successor and
-      // could arrive after the successor's own. The same write is tried again;
-      // a conflict on its own row then tells that it had taken effect.
-      return waitToRepeat(state, current.tries + 1);
+      // If the order were sent without its intent row, a successor would not
+      // know of it, and it could arrive after the successor's own. The same
+      // write is tried again; a conflict on the intent row then shows that the
+      // earlier try took effect.
+      return scheduleRetry(state, current.tries + 1);
   }
 }
 
-/** The row is written or deleted. */
+/** Goes on after the intent row was written or deleted. */
 function advance(state: OrdersState, version: number): OrdersStep {
   const current = state.current!;
   if (current.phase === 'recording') {
@@ -215,7 +221,10 @@
   return startNext({...state, current: undefined});
 }
 
-function takeAnswer(state: OrdersState, answer: OrderAnswer): OrdersStep {
+function handleOrderAnswer(
+  state: OrdersState,
+  answer: OrderAnswer,
+): OrdersStep {
   const current = state.current!;
   switch (answer.kind) {
     case 'accepted':
@@ -223,13 +232,13 @@
     case 'refused': {
       const {order} = current;
       const step = clear(noteRefused(state, current));
-      const told = {kind: 'refused', order, reason: answer.reason} as const;
-      return {...step, effects: [told, ...step.effects]};
+      const refusal = {kind: 'refused', order, reason: answer.reason} as const;
+      return {...step, effects: [refusal, ...step.effects]};
     }
     case 'stale_token':
-      return {state: standDown(state), effects: []};
+      return {state: resetTerm(state), effects: []};
     default:
-      return waitToRepeat(state, current.tries + 1);
+      return scheduleRetry(state, current.tries + 1);
   }
 }
 
@@ -242,7 +251,7 @@
   return perform({...state, current: clearing});
 }
 
-function waitToRepeat(state: OrdersState, tries: number): OrdersStep {
+function scheduleRetry(state: OrdersState, tries: number): OrdersStep {
   const current = state.current && {...state.current, tries};
   const delayMs = retryDelayMs(tries);
   return startCall({...state, current}, call => ({
@@ -252,6 +261,6 @@
   }));
 }
 
-function repeat(state: OrdersState): OrdersStep {
+function retryNow(state: OrdersState): OrdersStep {
   return state.scanning ? scan(state) : perform(state);
 }
--- a/packages/agreement/src/outstanding_orders.ts
+++ b/packages/agreement/src/outstanding_orders.ts
@@ -1,6 +1,6 @@
 /**
- * What is still to be ordered: the contents that are desired, less those that
- * were accepted, or refused since they were last desired.
+ * Outstanding orders: the desired contents, less those that were accepted, or
+ * were refused since the last `desired` event.
  */
 
 import {canonicalJson} from './canonical_json.js';
@@ -14,7 +14,7 @@
 } from './order_rows.js';
 import type {CurrentOrder, OrdersState} from './order_messages.js';
 
-/** The next content to order; undefined when all is as desired. */
+/** The next content to order; undefined if nothing is outstanding. */
 export function findOutstanding(state: OrdersState): OrderContent | undefined {
   return state.desired.find(content => {
     const target = targetOf(content);
@@ -23,8 +23,8 @@
   });
 }
 
-/** Makes the content the current order, under an id of its own. */
-export function takeUp(
+/** Makes the content the current order, under a new id. */
+export function startOrder(
   state: OrdersState,
   {fencingToken}: LeaseTerm,
   content: OrderContent,
@@ -45,7 +45,7 @@
   return {...state, sequence, current};
 }
 
-/** The target is as the order said; a predecessor's order says nothing of it. */
+/** Notes the accepted content; a predecessor's order has none to note. */
 export function noteAccepted(
   state: OrdersState,
   {content}: CurrentOrder,
@@ -58,7 +58,7 @@
   return {...state, accepted};
 }
 
-/** Leaves the target alone until it is desired again. */
+/** Excludes the target until the next `desired` event. */
 export function noteRefused(
   state: OrdersState,
   {content}: CurrentOrder,
--- a/packages/agreement/src/revision_adoption.ts
+++ b/packages/agreement/src/revision_adoption.ts
@@ -1,4 +1,4 @@
-/** How a snapshot comes into force, and until when it is known to be the newest. */
+/** Adopts snapshots, and notes when one was known to be the newest. */
 
 import type {RevisionState, RevisionStep} from './revisions.js';
 import {
@@ -9,7 +9,7 @@
 
 const MAX_RECENT_DELTAS = 64;
 
-/** The only place where a snapshot comes into force, and only a higher one. */
+/** Adopts a snapshot of a higher revision; no other function replaces it. */
 export function adoptSnapshot(
   state: RevisionState,
   snapshot: ConfigurationSnapshot,
@@ -26,7 +26,7 @@
   };
 }
 
-/** The snapshot was the newest at `atMs`, on the process's own clock. */
+/** Notes that the snapshot was the newest at `atMs`, by the process's clock. */
 export function confirm(state: RevisionState, atMs: number): RevisionState {
   const confirmedAtMs = Math.max(state.confirmedAtMs ?? -Infinity, atMs);
   return {...state, loaded: true, confirmedAtMs};
--- a/packages/agreement/src/revision_poll.ts
+++ b/packages/agreement/src/revision_poll.ts
@@ -1,6 +1,7 @@
 /**
- * Reads the newest revision from the table: the head, then the one ticket that
- * is missing or a scan of all objects, confirmed by reading the head again.
+ * Reads the newest revision from the table: the head row, then either the one
+ * ticket since the own revision, or all objects by a scan, confirmed by reading
+ * the head row again.
  */
 
 import {
@@ -27,16 +28,16 @@
 
 const MAX_SCANS_PER_POLL = 5;
 
-/** Begins to read the table, whatever is under way. */
+/** Starts a poll; a poll that is under way is abandoned. */
 export function startPoll(state: RevisionState, nowMs: number): RevisionStep {
-  // A poll that was not answered is given up: its call number is not awaited
-  // any more, so that a very late answer can't pass for a fresh one.
+  // The call number of an unanswered poll is no longer awaited, so that a very
+  // late answer can't be taken for a fresh one.
   const poll = {phase: 'reading_head', sentAtMs: nowMs} as const;
   return readKey({...state, poll}, HEAD_KEY);
 }
 
-/** Goes on with the rows that were awaited; unavailable ones end the poll. */
-export function takeRows(
+/** Handles the rows that the poll awaits; an unavailable result ends it. */
+export function handleReadResult(
   state: RevisionState,
   result: ReadResult,
 ): RevisionStep {
@@ -48,7 +49,7 @@
     case 'reading_head':
       return followHead(state, findRow(result.rows, HEAD_KEY), poll.sentAtMs);
     case 'reading_ticket':
-      return takeTicket(state, poll.head, result.rows, poll.sentAtMs);
+      return adoptTicket(state, poll.head, result.rows, poll.sentAtMs);
     case 'scanning': {
       const objects = result.rows;
       const confirming = {...poll, phase: 'confirming', objects} as const;
@@ -72,14 +73,14 @@
   if (behindBy > 1 || !state.loaded) {
     return scan(state, head, sentAtMs, 1);
   }
-  // Each ticket raises the head's version, so one step is exactly one ticket,
-  // and its row, which is never rewritten, holds all that changed.
+  // Each ticket raises the head's version by one, so exactly one ticket is
+  // missing, and its row, which is never rewritten, has all changes.
   const key = ticketKey((head.value as HeadValue).ticket);
   const poll = {phase: 'reading_ticket', sentAtMs, head} as const;
   return readKey({...state, poll}, key);
 }
 
-function takeTicket(
+function adoptTicket(
   state: RevisionState,
   head: Row,
   rows: readonly Row[],
@@ -119,9 +120,9 @@
   poll: PollState & {readonly phase: 'confirming'},
   head: Row,
 ): RevisionStep {
-  // A ticket accepted during the scan would leave a mix of two revisions in
-  // force, such as an endpoint whose model is missing. Every ticket raises the
-  // head's version, so an unchanged head means that the scan met none.
+  // A ticket accepted during the scan would result in a mix of two revisions,
+  // such as an endpoint whose model is missing. Every ticket raises the head's
+  // version, so an unchanged head shows that none was accepted meanwhile.
   if (head.version !== poll.head.version) {
     return poll.scans < MAX_SCANS_PER_POLL
       ? scan(state, head, poll.sentAtMs, poll.scans + 1)
--- a/packages/agreement/src/revisions.test.ts
+++ b/packages/agreement/src/revisions.test.ts
@@ -52,7 +52,7 @@
   return {state: step.state, seen: seen.map(({kind}) => kind), table};
 }
 
-test('one ticket is followed by its row, several by a scan', t => {
+test('one new ticket is read by its row, several by a scan', t => {
   let table = accept(EMPTY_TABLE, 1, 10);
   const first = poll(beginRevisions(), table);
   t.deepEqual(first.seen, ['read', 'scan', 'read', 'apply']);
@@ -68,8 +68,8 @@
   t.is(third.state.confirmedAtMs, 5);
 });
 
-// A ticket is accepted while an instance reads all objects. It would otherwise
-// serve a mix of two revisions, and callers would see models come and go.
+// A ticket is accepted while an instance scans all objects. Without a second
+// scan it would serve a mix of two revisions.
 test('a ticket accepted during a scan makes it read again', t => {
   let number = 1;
   const raced = poll(beginRevisions(), accept(EMPTY_TABLE, 1, 10), table =>
@@ -79,9 +79,9 @@
   t.is(Object.keys(raced.state.snapshot.objects).length, 3);
 });
 
-// A peer that was cut off comes back and tells what it knows. Were its old
-// revision applied, a withdrawn key would work again.
-test('peers only ever raise the revision', t => {
+// A peer that was cut off returns and sends its old revision. If that were
+// applied, a withdrawn key would work again.
+test('messages from peers never lower the revision', t => {
   const table = accept(accept(EMPTY_TABLE, 1, 10), 2, 20);
   const older = poll(beginRevisions(), accept(EMPTY_TABLE, 1, 10)).state;
   const newer = poll(
--- a/packages/agreement/src/revisions.ts
+++ b/packages/agreement/src/revisions.ts
@@ -1,17 +1,17 @@
 /**
- * Keeps an instance at the newest revision that it has heard of, from the table
- * or from peers, and never goes back.
+ * Keeps an instance at the newest revision that it received from the table or
+ * from peers; the revision never goes down.
  *
- * Store calls: `r` instances that poll every `p` seconds read `r / p` rows a
- * second. For each ticket they meet alone they read one row more; for several
- * tickets between two polls, one scan and one row. Instances that hear of
- * revisions from peers read nothing.
+ * Table calls: `r` instances that poll every `p` seconds read `r / p` rows a
+ * second. If one ticket was accepted between two polls, they read one row more;
+ * if several were, one scan and one row. Instances that only receive revisions
+ * from peers read nothing.
  */
 
 import type {InstanceId, Revision} from '@snipestage/types/ids.js';
 import type {Row} from '@snipestage/types/table.js';
 import {adoptSnapshot, confirm} from './revision_adoption.js';
-import {startPoll, takeRows} from './revision_poll.js';
+import {startPoll, handleReadResult} from './revision_poll.js';
 import {
   applyDelta,
   EMPTY_SNAPSHOT,
@@ -21,13 +21,13 @@
 } from './snapshots.js';
 import type {Step, TableEffect, TableEvent} from './table_effects.js';
 
-/** What an instance knows of the configuration. */
+/** State of the configuration at an instance. */
 export interface RevisionState {
   readonly snapshot: ConfigurationSnapshot;
-  /** Whether anything was ever learnt; without it an instance isn't ready. */
+  /** Whether a snapshot was ever adopted or confirmed; if not, it isn't ready. */
   readonly loaded: boolean;
   /**
-   * The last moment at which the snapshot was known to be the newest; says how
+   * The last moment at which the snapshot was known to be the newest; shows how
    * long the instance has been cut off.
    */
   readonly confirmedAtMs: number | undefined;
@@ -36,7 +36,7 @@
   readonly poll: PollState;
 }
 
-/** Where the reading of the table stands. */
+/** Progress of a poll of the table. */
 export type PollState =
   | {readonly phase: 'idle'}
   | {readonly phase: 'reading_head'; readonly sentAtMs: number}
@@ -59,11 +59,11 @@
       readonly objects: readonly Row[];
     };
 
-/** What an instance hears about revisions, besides the table's answers. */
+/** Results of table calls, the time to poll, and messages from peers. */
 export type RevisionEvent =
   | TableEvent
   | {readonly kind: 'poll'; readonly nowMs: number}
-  /** A peer tells its revision and how long ago it was known to be newest. */
+  /** A peer's revision, and how long ago that was known to be the newest. */
   | {
       readonly kind: 'peer_revision';
       readonly peer: InstanceId;
@@ -85,13 +85,13 @@
 
 export type RevisionEffect =
   | TableEffect
-  /** Put it in force here and push it to peers. */
+  /** Apply the snapshot at this instance and send the delta to peers. */
   | {
       readonly kind: 'apply';
       readonly snapshot: ConfigurationSnapshot;
       readonly delta: ConfigurationDelta;
     }
-  /** Ask the peer for what came after `from`; see {@link answerPeer}. */
+  /** Request the changes after `from`; the peer uses {@link answerPeer}. */
   | {
       readonly kind: 'ask_peer';
       readonly peer: InstanceId;
@@ -101,7 +101,7 @@
 export type RevisionStep = Step<RevisionState, RevisionEffect>;
 
 /**
- * An instance that knows nothing yet.
+ * State of an instance that has no configuration yet.
  *
  * @example
  * let state = beginRevisions();
@@ -118,7 +118,7 @@
 }
 
 /**
- * Takes in what was heard.
+ * Handles a poll, the result of a table call, or a message from a peer.
  *
  * @example
  * const {state, effects} = transitionRevisions(before, {kind: 'poll', nowMs});
@@ -131,14 +131,14 @@
     case 'poll':
       return startPoll(state, event.nowMs);
     case 'peer_revision':
-      return hearRevision(state, event);
+      return handlePeerRevision(state, event);
     case 'peer_delta':
-      return hearDelta(state, event);
+      return handlePeerDelta(state, event);
     case 'peer_snapshot':
       return adoptSnapshot(state, event.snapshot);
     case 'read_answered':
       return event.call === state.call
-        ? takeRows(state, event.result)
+        ? handleReadResult(state, event.result)
         : {state, effects: []};
     default:
       return {state, effects: []};
@@ -146,8 +146,8 @@
 }
 
 /**
- * What to hand a peer that is at `from`: a delta if recent ones reach back that
- * far, else everything; nothing if the peer is as new.
+ * What to send to a peer that is at revision `from`: a delta if the recent ones
+ * reach back that far, else the snapshot; undefined if the peer is not behind.
  *
  * @example
  * const answer = answerPeer(state, peerRevision);
@@ -162,12 +162,12 @@
   return joinDeltas(state.recentDeltas, from) ?? state.snapshot;
 }
 
-function hearRevision(
+function handlePeerRevision(
   state: RevisionState,
   event: RevisionEvent & {readonly kind: 'peer_revision'},
 ): RevisionStep {
   if (event.revision > state.snapshot.revision) {
-    return askPeer(state, event.peer);
+    return requestFromPeer(state, event.peer);
   }
   if (event.confirmedAgeMs === undefined) {
     return {state, effects: []};
@@ -178,16 +178,16 @@
   };
 }
 
-function hearDelta(
+function handlePeerDelta(
   state: RevisionState,
   {delta, peer}: RevisionEvent & {readonly kind: 'peer_delta'},
 ): RevisionStep {
   return delta.from > state.snapshot.revision
-    ? askPeer(state, peer)
+    ? requestFromPeer(state, peer)
     : adoptSnapshot(state, applyDelta(state.snapshot, delta), delta);
 }
 
-function askPeer(state: RevisionState, peer: InstanceId): RevisionStep {
+function requestFromPeer(state: RevisionState, peer: InstanceId): RevisionStep {
   const from = state.snapshot.revision;
   return {state, effects: [{kind: 'ask_peer', peer, from}]};
 }
--- a/packages/agreement/src/snapshots.ts
+++ b/packages/agreement/src/snapshots.ts
@@ -10,7 +10,7 @@
 import type {Row} from '@snipestage/types/table.js';
 import {pathOf, type ObjectValue} from './ticket_rows.js';
 
-/** Plain data, as peers hand it over; objects by path, removed ones left out. */
+/** Plain data that peers exchange; objects by path, without removed ones. */
 export interface ConfigurationSnapshot {
   readonly revision: Revision;
   readonly objects: Readonly<Record<string, ObjectChange>>;
@@ -29,7 +29,7 @@
 };
 
 /**
- * The snapshot that a scan of the object rows shows.
+ * The snapshot that results from a scan of the object rows.
  *
  * @example
  * const snapshot = snapshotFromRows(rows, brandAs<Revision>(head.version));
@@ -43,8 +43,8 @@
 }
 
 /**
- * Applies a delta that starts at or below the snapshot's revision; objects are
- * replaced whole, so that changes already contained do no harm.
+ * Applies a delta that starts at or below the snapshot's revision. Objects are
+ * replaced as a whole, so changes that the snapshot already contains do no harm.
  *
  * @example
  * const next = applyDelta(snapshot, delta);
@@ -84,8 +84,8 @@
 }
 
 /**
- * Joins deltas that follow one another into the one from `from` to the last.
- * Undefined if they don't reach back that far.
+ * Joins consecutive deltas into one from `from` to the last. Undefined if they
+ * don't reach back to `from`, or none is newer.
  *
  * @example
  * const delta = joinDeltas(recentDeltas, peerRevision);
@@ -107,7 +107,7 @@
 }
 
 /**
- * The configuration as requests are decided by it.
+ * The configuration in the form in which requests use it.
  *
  * @example
  * const {clientAccounts} = buildConfiguration(snapshot);
--- a/packages/agreement/src/table_effects.ts
+++ b/packages/agreement/src/table_effects.ts
@@ -1,6 +1,6 @@
 /**
- * What the agreement protocols ask of the process around them, and what they
- * hear back. A protocol is a pure function of a state and an event; the process
+ * Effects that the agreement protocols emit, and the events that the process
+ * feeds back. A protocol is a pure function of a state and an event; the process
  * carries out each effect and feeds its result back under the same call number.
  */
 
@@ -11,7 +11,7 @@
   TransactionResult,
 } from '@snipestage/types/table.js';
 
-/** A call of the table, or a wait, whose result is to be fed back. */
+/** A table call, or a wait, whose result the process feeds back. */
 export type TableEffect =
   | {
       readonly kind: 'read';
@@ -26,7 +26,7 @@
     }
   | {readonly kind: 'wait'; readonly call: number; readonly delayMs: number};
 
-/** The result of an effect; `nowMs` is the process's own monotonic clock. */
+/** The result of an effect; `nowMs` is from the process's monotonic clock. */
 export type TableEvent =
   | {
       readonly kind: 'read_answered';
@@ -42,15 +42,15 @@
     }
   | {readonly kind: 'waited'; readonly call: number; readonly nowMs: number};
 
-/** What a transition returns: the next state and what to carry out. */
+/** Result of a transition: the next state and the effects to carry out. */
 export interface Step<State, Effect> {
   readonly state: State;
   readonly effects: readonly Effect[];
 }
 
 /**
- * Starts the one call that a state awaits, under the next number: the result of
- * an earlier call that comes late has a number that is no longer awaited.
+ * Starts the one call that a state awaits, under the next number. Protocols
+ * ignore results with another number, such as a late one of an earlier call.
  *
  * @example
  * startCall({...state, phase: 'reading'}, call => ({kind: 'read', call, keys}));
@@ -64,7 +64,7 @@
 }
 
 /**
- * The row of a key among rows read; absent ones have version 0.
+ * The row of a key among rows read; an absent row has version 0.
  *
  * @example
  * findRow([], 'leases/orders'); // {key: 'leases/orders', version: 0, value: null}
@@ -74,8 +74,9 @@
 }
 
 /**
- * Exponential delay before a repeated call, without randomness: protocols are
- * pure, and the process adds jitter when it sets the timer.
+ * Exponential backoff in milliseconds before a repeated call, without
+ * randomness: protocols are pure, and the process adds jitter when it sets the
+ * timer.
  *
  * @example
  * retryDelayMs(3); // 400
--- a/packages/agreement/src/ticket_plan.ts
+++ b/packages/agreement/src/ticket_plan.ts
@@ -1,15 +1,16 @@
 /**
- * What accepting a ticket depends on, and the one transaction that accepts it.
+ * The rows on which accepting a ticket depends, and the one transaction that
+ * accepts it.
  *
  * Whole-state writes of different objects commute, so tickets on different
  * objects share no checked row: the head row is written unchecked, and its
- * version, which the table raises, orders them. What does not commute is told
- * apart by its kind, after M. Herlihy and W. Weihl, "Hybrid Concurrency Control
- * for Abstract Data Types": a write depends on the last write of the same
- * object (the lower number is superseded), a reference on the removal of what
- * it refers to, and a removal on the references to it; two references to one
- * object do not depend on each other, nor does a reference on a change that
- * leaves the object there.
+ * version, which the table raises, orders them. Writes that do not commute are
+ * distinguished by kind, after M. Herlihy and W. Weihl, "Hybrid Concurrency
+ * Control for Abstract Data Types": a write depends on the last write of the same
+ * object (the lower number is superseded), a reference on the removal of the
+ * object that it refers to, and a removal on the references to the object. Two
+ * references to one object do not depend on each other, nor does a reference on a
+ * change that does not remove the object.
  */
 
 import type {
@@ -40,20 +41,20 @@
 } from './ticket_rows.js';
 
 /**
- * Which rows a ticket's transaction checks: `dependency` only those that it
- * depends on; `global` also the head row, for comparison.
+ * Which rows a ticket's transaction checks: `dependency` only those that the
+ * ticket depends on; `global` also the head row, for comparison in measurements.
  */
 export type TicketStrategy = 'dependency' | 'global';
 
-/** A reference that would dangle. */
+/** A reference to an object that would not exist. */
 export interface ReferenceFault {
   readonly path: string;
   readonly message: string;
 }
 
-/** Why a ticket is not accepted; asking again would not help. */
+/** Why a ticket is not accepted; submitting it again would not help. */
 export type TicketRefusal =
-  /** Another ticket was accepted under its number. */
+  /** A ticket with other content was accepted under the same number. */
   | {readonly kind: 'conflict'}
   | {
       readonly kind: 'superseded';
@@ -62,14 +63,14 @@
     }
   | {readonly kind: 'invalid'; readonly faults: readonly ReferenceFault[]};
 
-/** What is to be done about a ticket, given the rows read. */
+/** What to do with a ticket, given the rows read. */
 export type TicketPlan =
   | TicketRefusal
   | {readonly kind: 'commit'; readonly transaction: TableTransaction}
   | {readonly kind: 'already_accepted'};
 
 /**
- * The rows to read before a ticket can be decided.
+ * Keys of the rows to read before {@link planTicket}.
  *
  * @example
  * const keys = listTicketKeys(ticket);
@@ -88,7 +89,7 @@
 }
 
 /**
- * Whether all objects have to be read, to see what refers to a removed one.
+ * Whether all objects must be read, to find references to a removed one.
  *
  * @example
  * needsObjects(ticket); // false when the ticket removes nothing
@@ -98,8 +99,9 @@
 }
 
 /**
- * Decides a ticket from rows read; `objects` are read after `rows`, so that a
- * reference added in between shows in the version of its row.
+ * Decides on a ticket. `objects` must be read after `rows`: a reference that
+ * `objects` does not show yet then changes the version of a row that the
+ * transaction checks.
  *
  * @example
  * const plan = planTicket({ticket, rows, objects: [], strategy: 'dependency'});
@@ -113,15 +115,15 @@
   const {ticket, rows, objects, strategy} = options;
   const accepted = findRow(rows, ticketKey(ticket.number));
   if (accepted.version > 0) {
-    return comparePlan(ticket, accepted);
+    return compareWithAccepted(ticket, accepted);
   }
   const newer = findNewerTicket(ticket, rows);
   if (newer !== undefined) {
     return newer;
   }
   const faults = [
-    ...findMissingReferences(ticket, rows),
-    ...findLeftReferences(ticket, objects),
+    ...findReferencesToMissing(ticket, rows),
+    ...findReferencesToRemoved(ticket, objects),
   ];
   if (faults.length > 0) {
     return {kind: 'invalid', faults};
@@ -129,7 +131,7 @@
   return {kind: 'commit', transaction: composeCommit(ticket, rows, strategy)};
 }
 
-function comparePlan(ticket: ChangeTicket, accepted: Row): TicketPlan {
+function compareWithAccepted(ticket: ChangeTicket, accepted: Row): TicketPlan {
   const value = accepted.value as TicketValue;
   if (value.digest === digestOf(ticket)) {
     return {kind: 'already_accepted'};
@@ -151,7 +153,7 @@
   return undefined;
 }
 
-function findMissingReferences(
+function findReferencesToMissing(
   ticket: ChangeTicket,
   rows: readonly Row[],
 ): readonly ReferenceFault[] {
@@ -168,7 +170,7 @@
   );
 }
 
-function findLeftReferences(
+function findReferencesToRemoved(
   ticket: ChangeTicket,
   objects: readonly Row[],
 ): readonly ReferenceFault[] {
--- a/packages/agreement/src/ticket_rows.ts
+++ b/packages/agreement/src/ticket_rows.ts
@@ -2,12 +2,14 @@
  * The configuration's rows in the platform's table.
  *
  * - `configuration/head`: the last ticket accepted. Its row version is the
- *   revision, so that the table itself puts tickets into one order and a
- *   reader sees it by polling one row.
+ *   revision, so that the table itself puts tickets into one order and readers
+ *   find a new revision by polling one row.
  * - `configuration/tickets/<number>`: the ticket as accepted, never rewritten.
- * - `configuration/objects/<kind>/<id>`: state and last ticket; a removed
- *   object stays as a row without state, so that a lower number can't revive it.
- * - `configuration/presence/<kind>/<id>`: written when the object comes or goes.
+ * - `configuration/objects/<kind>/<id>`: state and last ticket; a removed object
+ *   stays as a row without state, so that a ticket with a lower number can't
+ *   create it again.
+ * - `configuration/presence/<kind>/<id>`: written when the object is created or
+ *   removed.
  * - `configuration/references/<kind>/<id>`: written, unchecked, by each ticket
  *   that refers to the object.
  */
@@ -49,7 +51,7 @@
 }
 
 /**
- * Key of a ticket's row; scans give tickets in the order of their numbers.
+ * Key of a ticket's row; scans return tickets in the order of their numbers.
  *
  * @example
  * ticketKey(brandAs<ChangeTicketNumber>(7));
@@ -67,12 +69,12 @@
   return OBJECTS_PREFIX + path;
 }
 
-/** Key of the row that changes when the object comes or goes. */
+/** Key of the row that changes when the object is created or removed. */
 export function presenceKey(path: ObjectPath): string {
   return PRESENCE_PREFIX + path;
 }
 
-/** Key of the row that changes when something refers to the object. */
+/** Key of the row that each ticket with a reference to the object writes. */
 export function referencesKey(path: ObjectPath): string {
   return REFERENCES_PREFIX + path;
 }
--- a/packages/agreement/src/tickets.test.ts
+++ b/packages/agreement/src/tickets.test.ts
@@ -37,7 +37,10 @@
   return {number: brandAs(number), author: 'ana', reason: 'test', changes};
 }
 
-/** Runs a step to its end; losses say what goes wrong with each transaction. */
+/**
+ * Runs a ticket to its end. Each transaction takes the next of `losses`: `before`
+ * it is lost before it takes effect, `after` only its answer is lost.
+ */
 function finish(table: TableModel, first: TicketStep, losses: Loss[] = []) {
   let {state, effects} = first;
   while (effects.length > 0) {
@@ -60,7 +63,7 @@
   return finish(table, beginTicket({ticket}), losses);
 }
 
-test('a ticket asked again is the same ticket, changed content is not', t => {
+test('a ticket can be submitted again, but not with changed content', t => {
   const ticket = ticketOf(5, modelChange('repair', 100));
   const first = submit(EMPTY_TABLE, ticket);
   t.deepEqual(first.outcome, {kind: 'accepted', revision: brandAs(1)});
@@ -72,7 +75,7 @@
   t.like(lower.outcome, {kind: 'superseded', by: 5});
 });
 
-test('a lower number does not revive a removed object', t => {
+test('a ticket with a lower number does not recreate a removed object', t => {
   const made = submit(EMPTY_TABLE, ticketOf(1, modelChange('repair', 1)));
   const gone = submit(made.table, ticketOf(9, modelChange('repair', null)));
   t.is(gone.outcome.kind, 'accepted');
@@ -81,9 +84,9 @@
 });
 
 // The table commits a ticket and its answer is lost, or the transaction never
-// arrives. An operator told "failed" would file it again under a new number;
-// one told "accepted" too early would believe in a change that never came.
-test('a lost answer is read back before the operator hears anything', t => {
+// arrives. If it were reported as failed, the operator would submit it again
+// under a new number; if as accepted too early, the change might not exist.
+test('after a lost answer the row is read back before an outcome is given', t => {
   const ticket = ticketOf(5, modelChange('repair', 100));
   for (const loss of ['before', 'after'] as const) {
     const {table, outcome} = submit(EMPTY_TABLE, ticket, [loss]);
@@ -94,9 +97,9 @@
   t.is(submit(EMPTY_TABLE, ticket, allLost).outcome.kind, 'unknown');
 });
 
-// The table goes down between the reading of the ticket and of its revision. An
-// operator told "unavailable" would believe that nothing had taken effect.
-test('a ticket that was seen accepted is never told unavailable', t => {
+// The table becomes unavailable between the reads of the ticket's row and of its
+// revision. The outcome `unavailable` would say that nothing had taken effect.
+test('a ticket whose row was seen never ends as unavailable', t => {
   const ticket = ticketOf(5, modelChange('repair', 100));
   const {table} = submit(EMPTY_TABLE, ticket);
   const begun = beginTicket({ticket, maxAttempts: 1});
@@ -111,9 +114,9 @@
   t.is(state.outcome?.kind, 'unknown');
 });
 
-// One operator removes a model while another orders a pool of endpoints for it.
-// Were both accepted, the pool would ask for a model that does not exist.
-test('of a removal and a new reference to it only one is accepted', t => {
+// One operator removes a model while another creates an endpoint pool for it. If
+// both were accepted, the pool would refer to a model that does not exist.
+test('of a removal and a new reference to the object only one is accepted', t => {
   const base = submit(
     EMPTY_TABLE,
     ticketOf(1, modelChange('repair', 1), DATA_CENTRE),
@@ -134,7 +137,7 @@
   }
 });
 
-test('operators on different objects do not hold each other up', t => {
+test('tickets on different objects do not conflict', t => {
   for (const operators of [1, 4, 16]) {
     const options = {operators, rounds: 50, seed: 1};
     const kept = measureTickets({...options, strategy: 'dependency'});
@@ -146,10 +149,10 @@
   }
 });
 
-test('an instance that stops tells what its last attempt came to', t => {
-  // The store is down while an instance ends. Seven more attempts would outlast
-  // it; the operator has to hear that the ticket may be in force, and not see
-  // the connection close.
+test('an instance that stops gives the outcome of its last attempt', t => {
+  // The table is unavailable while an instance shuts down, and seven more
+  // attempts would take longer than that. The operator must get the answer that
+  // the ticket may have taken effect, not a closed connection.
   const ticket = ticketOf(5, modelChange('repair', 100));
   let {state, effects} = beginTicket({ticket});
   ({state, effects} = transitionTicket(
--- a/packages/agreement/src/tickets.ts
+++ b/packages/agreement/src/tickets.ts
@@ -2,10 +2,10 @@
  * Accepts one change ticket, as a protocol between the accepting instance and
  * the table.
  *
- * Store calls for a ticket that meets no other on the same objects: one read
- * (of `2 + 2 changes + references + removals` rows), one transaction (of
- * `2 + changes + references` rows, one more for each object that comes or
- * goes), and one scan if it removes something. At `c` tickets a day that is
+ * Table calls for a ticket that conflicts with no other: one read (of
+ * `2 + 2 changes + references + removals` rows), one transaction (of
+ * `2 + changes + references` rows, one more for each object that is created or
+ * removed), and one scan if it removes something. At `c` tickets a day that is
  * `c / 86,400` of each a second.
  */
 
@@ -35,10 +35,11 @@
 import {HEAD_KEY, OBJECTS_PREFIX} from './ticket_rows.js';
 
 /**
- * How a ticket ended. For `already_accepted`, and for `accepted` after a lost
- * answer, `revision` is one that contains the ticket, though not always the
- * first. `unavailable`: nothing took effect nor will. `unknown`: it may have or
- * may yet; asking again with the same ticket is safe and settles it.
+ * Outcome of a ticket. For `already_accepted`, and for `accepted` after a lost
+ * answer, `revision` contains the ticket, but is not always the first that does.
+ * `unavailable`: the ticket took no effect and will take none. `unknown`: it may
+ * have taken effect or still may; submitting the same ticket again is safe and
+ * shows which.
  */
 export type TicketOutcome =
   | TicketRefusal
@@ -47,13 +48,13 @@
   | {readonly kind: 'unavailable'}
   | {readonly kind: 'unknown'};
 
-/** A ticket on its way. */
+/** State of a ticket that is being accepted. */
 export interface TicketState {
   readonly ticket: ChangeTicket;
   readonly strategy: TicketStrategy;
   readonly maxAttempts: number;
   readonly attempt: number;
-  /** Number of the call whose result is awaited; others are late. */
+  /** Number of the call whose result is awaited; other results are ignored. */
   readonly call: number;
   readonly phase:
     | 'reading'
@@ -63,7 +64,10 @@
     | 'waiting'
     | 'done';
   readonly rows: readonly Row[];
-  /** A transaction was sent whose result is not known. */
+  /**
+   * The result of a transaction was unknown, or the table became unavailable
+   * after the ticket's row was seen.
+   */
   readonly inDoubt: boolean;
   readonly outcome: TicketOutcome | undefined;
 }
@@ -73,7 +77,7 @@
 const DEFAULT_MAX_ATTEMPTS = 8;
 
 /**
- * Starts to accept a ticket whose fields were found valid.
+ * Starts to accept a ticket whose fields were validated.
  *
  * @example
  * let {state, effects} = beginTicket({ticket});
@@ -97,7 +101,7 @@
 }
 
 /**
- * Takes in the result of an effect; `state.outcome` is set at the end.
+ * Handles the result of an effect; `state.outcome` is set at the end.
  *
  * @example
  * ({state, effects} = transitionTicket(state, event));
@@ -113,16 +117,16 @@
     case 'waited':
       return startAttempt(state);
     case 'read_answered':
-      return takeRows(state, event.result);
+      return handleReadResult(state, event.result);
     case 'transaction_answered':
-      return takeCommit(state, event.result);
+      return handleCommitResult(state, event.result);
   }
 }
 
 /**
- * The same ticket without further attempts: the one under way decides. For an
- * instance that stops, where eight attempts at a store that is down would take
- * longer than its last writes may.
+ * Makes the attempt under way the ticket's last. For an instance that shuts down:
+ * eight attempts at a table that is unavailable would take longer than its last
+ * writes may.
  *
  * @example
  * ({state, effects} = transitionTicket(limitToThisAttempt(state), event));
@@ -138,9 +142,10 @@
   return startCall(reading, call => ({kind: 'read', call, keys}));
 }
 
-function takeRows(state: TicketState, result: ReadResult): TicketStep {
+function handleReadResult(state: TicketState, result: ReadResult): TicketStep {
   if (result.kind === 'unavailable') {
-    // Once the ticket's row was seen, "nothing took effect" would be untrue.
+    // Once the ticket's row was seen, the outcome must not be `unavailable`,
+    // which says that the ticket took no effect.
     const seen = state.phase === 'reading_revision';
     return retry({...state, inDoubt: state.inDoubt || seen});
   }
@@ -162,10 +167,10 @@
     rows: scanned ? state.rows : result.rows,
     objects: scanned ? result.rows : [],
   });
-  return follow(state, plan);
+  return followPlan(state, plan);
 }
 
-function follow(state: TicketState, plan: TicketPlan): TicketStep {
+function followPlan(state: TicketState, plan: TicketPlan): TicketStep {
   switch (plan.kind) {
     case 'commit': {
       const {transaction} = plan;
@@ -176,7 +181,7 @@
       }));
     }
     case 'already_accepted': {
-      // The rows need not have been read at one moment: a head read before the
+      // The rows may have been read at different moments: a head read before the
       // ticket was committed would be a revision that does not contain it.
       return startCall({...state, phase: 'reading_revision'}, call => ({
         kind: 'read',
@@ -185,13 +190,16 @@
       }));
     }
     default:
-      // True even while a transaction is in doubt: what was read since differs
-      // from what that one checks, so it can't take effect any more.
+      // Holds even while a transaction is in doubt: the rows read since differ
+      // from those that it checks, so it can't take effect any more.
       return finish(state, plan);
   }
 }
 
-function takeCommit(state: TicketState, result: TransactionResult): TicketStep {
+function handleCommitResult(
+  state: TicketState,
+  result: TransactionResult,
+): TicketStep {
   switch (result.kind) {
     case 'committed': {
       const revision = brandAs<Revision>(result.versions[HEAD_KEY]);
@@ -202,11 +210,11 @@
         ? startAttempt(state)
         : giveUp(state);
     case 'unknown':
-      // Telling the operator "failed" here while the transaction took effect
-      // would have them file it again under another number. The next attempt
-      // reads the ticket's row first; if it isn't there, the same transaction
-      // is sent again, and the check that the row is absent lets one of the
-      // two take effect at most.
+      // If this were reported as a failure although the transaction took effect,
+      // the operator would submit the change again under another number. The
+      // next attempt reads the ticket's row first; if it is absent, the same
+      // transaction is sent again, and the check that the row is absent lets at
+      // most one of the two take effect.
       return retry({...state, inDoubt: true});
   }
 }
--- a/packages/agreement/src/usage.test.ts
+++ b/packages/agreement/src/usage.test.ts
@@ -58,7 +58,7 @@
   return {table, state: step.state};
 }
 
-/** Ticks until there is nothing to do; gives what was reported. */
+/** Ticks until nothing changes; returns the reports and the table. */
 function reportAll(table: TableModel, nowEpochMs: number) {
   const options = {
     lease: brandAs<LeaseName>('usage'),
@@ -97,7 +97,7 @@
   }
 }
 
-test('late counters go into the next window, to the unit', t => {
+test('late counters go into the next window exactly', t => {
   const start = reportAll(EMPTY_TABLE, 50).table;
   const one = flush(start, count(beginShop(), 50, 3));
   const early = reportAll(one.table, 110);
@@ -118,9 +118,9 @@
   t.like(next.reports[0], {startEpochMs: 100, endEpochMs: 200});
 });
 
-// A data centre was cut off: its counters come after their window is sealed and
-// cleared up. The client account must be billed for what is new, and only that.
-test('a counter that is written again after clearing up is not billed twice', t => {
+// A data centre was cut off, and its counters arrive after their window's rows
+// were sealed and deleted. Only what is new in them must be billed.
+test('a counter that is written again after its deletion is not billed twice', t => {
   const start = reportAll(EMPTY_TABLE, 50).table;
   const one = flush(start, count(beginShop(), 50, 3));
   const sealed = reportAll(one.table, 1110).table;
@@ -137,8 +137,8 @@
 });
 
 // A peer that took an instance for dead writes its older copy after the newer
-// row was sealed and cleared up. The bill must not go down by the difference.
-test('an older copy written after clearing up takes nothing back', t => {
+// row was sealed and deleted. The bill must not be reduced by the difference.
+test('an older copy written after the deletion does not reduce the bill', t => {
   const start = reportAll(EMPTY_TABLE, 50).table;
   const one = flush(start, count(beginShop(), 50, 3));
   const [copy] = listCopies(one.state);
@@ -153,10 +153,10 @@
   );
 });
 
-// A reporter is paused or dies between any two steps while another goes on;
-// seals and reports are lost or late. A client account would be billed twice,
-// or with figures that differ between two reports.
-test('no order of losses and takeovers reports a window with two figures', t => {
+// A reporter is paused or dies between any two steps while another goes on, and
+// seals and reports are lost or late. A client account must not be billed twice,
+// nor with figures that differ between two reports.
+test('no order of losses and takeovers reports a window with different figures', t => {
   const sizes = [
     {windows: 2, counts: 2},
     {windows: 1, counts: 1, losses: 1},
@@ -172,7 +172,7 @@
   }
 });
 
-/** A seal that is written whatever the table says. */
+/** Removes all checks, so that a seal is written unconditionally. */
 function dropChecks(step: ReporterStep): ReporterStep {
   const effects = step.effects.map(effect =>
     effect.kind === 'transact'
@@ -182,7 +182,7 @@
   return {...step, effects};
 }
 
-test('the model finds a seal that is not conditional', t => {
+test('the model catches a seal that is not conditional', t => {
   const mutant = createUsageModel({
     windows: 1,
     counts: 2,
--- a/packages/agreement/src/usage.ts
+++ b/packages/agreement/src/usage.ts
@@ -1,12 +1,12 @@
 /**
- * The usage reporter: under its lease it seals one window after another and
- * reports each by its seal, under the window's id. A successor goes on where
- * the table says that its predecessor came to, with the same figures.
+ * The usage reporter: while it holds its lease, it seals one window after another
+ * and reports each from its seal, under the window's id. A successor continues
+ * from the progress row in the table, with the same figures.
  *
- * Store calls a window, by the one holder: two reads of the progress row, one of
- * the seal, one of the accounted rows, one scan, two transactions; while there
- * is nothing to do, one read a tick. With `n` instances that each serve `a`
- * pairs of client account and class in a window, the scan gives some `n` rows
+ * Table calls per window, by the one holder: two reads of the progress row, one
+ * of the seal, one of the accounted rows, one scan, two transactions; while there
+ * is nothing to do, one read per tick. With `n` instances that each serve `a`
+ * pairs of client account and class in a window, the scan returns some `n` rows
  * for each of the windows whose counters are kept, and the seal's transaction
  * has about `n a` lines of some 100 bytes.
  */
@@ -49,8 +49,8 @@
 }
 
 /**
- * Takes in a tick, what became of the lease, or a result. Whatever fails or is
- * unknown ends the round; the next tick begins with what the table says.
+ * Handles a tick, a change of the lease, or the result of an effect. A failed or
+ * unknown result ends the round; the next tick starts by reading the table.
  *
  * @example
  * ({state, effects} = transitionReporter(state, {kind: 'tick', nowEpochMs}));
@@ -70,7 +70,7 @@
         : {state, effects: []};
     default:
       return event.call === state.call && state.term !== undefined
-        ? takeResult(state, state.term, event)
+        ? handleResult(state, state.term, event)
         : {state, effects: []};
   }
 }
@@ -80,18 +80,18 @@
   {readonly kind: 'acquired' | 'lost' | 'tick'}
 >;
 
-function takeResult(
+function handleResult(
   state: ReporterState,
   term: LeaseTerm,
   event: ResultEvent,
 ): ReporterStep {
   switch (event.kind) {
     case 'read_answered':
-      return takeRows(state, term, event.result);
+      return handleReadResult(state, term, event.result);
     case 'report_answered':
-      return takeReported(state, term, event.result);
+      return handleReportResult(state, term, event.result);
     case 'transaction_answered':
-      // Committed, in conflict or unknown: the next tick reads which.
+      // Committed, in conflict or unknown: the next tick reads the outcome.
       return end(state);
     case 'waited':
       return {state, effects: []};
@@ -102,7 +102,7 @@
   return {state: {...state, phase: {kind: 'idle'}}, effects: []};
 }
 
-/** Goes on to a phase whose effect is numbered anew. */
+/** Enters a phase and starts its effect under a new call number. */
 function enter(
   state: ReporterState,
   phase: ReporterPhase,
@@ -119,7 +119,7 @@
   }));
 }
 
-function takeRows(
+function handleReadResult(
   state: ReporterState,
   term: LeaseTerm,
   result: ReadResult,
@@ -196,13 +196,14 @@
     readonly accounted: readonly Row[];
   },
 ): ReporterStep {
-  const {lease, windowMs, keepCountersMs, keepAccountedMs} = state.options;
+  const {lease, windowMs, counterRetentionMs, accountedRetentionMs} =
+    state.options;
   const {nextToSealEpochMs} = read.progress.value as ProgressValue;
   const transaction = composeSeal({
     ...read,
     windowMs,
-    keepCountersMs,
-    keepAccountedMs,
+    counterRetentionMs,
+    accountedRetentionMs,
     window: windowAt(nextToSealEpochMs, windowMs),
     fence: {key: fenceKey(lease), version: term.fenceVersion},
   });
@@ -214,8 +215,9 @@
 }
 
 /**
- * Reports from the seal as the table has it, never from figures at hand: a seal
- * whose outcome was unknown may be another's, with other figures.
+ * Reports the figures of the seal in the table, never those computed here: if the
+ * outcome of writing the seal was unknown, the table may have the seal of another
+ * holder, with other figures.
  */
 function report(
   state: ReporterState,
@@ -236,7 +238,7 @@
   }));
 }
 
-function takeReported(
+function handleReportResult(
   state: ReporterState,
   term: LeaseTerm,
   result: ReportResult | {readonly kind: 'not_sent'},
@@ -244,7 +246,7 @@
   const {phase} = state;
   const settled = result.kind === 'accepted' || result.kind === 'refused';
   if (phase.kind !== 'reporting' || !settled) {
-    // May have been taken in; the same report goes out again next time.
+    // The platform may have accepted it; a later tick sends the same report.
     return end(state);
   }
   const value = phase.progress.value as ProgressValue;
@@ -256,8 +258,8 @@
   }
   const window = windowAt(value.nextToReportEpochMs, windowMs);
   const {reason} = result;
-  const told = {kind: 'report_refused', window, reason} as const;
-  return {...step, effects: [told, ...step.effects]};
+  const refusal = {kind: 'report_refused', window, reason} as const;
+  return {...step, effects: [refusal, ...step.effects]};
 }
 
 function writeProgress(
--- a/packages/agreement/src/usage_counters.ts
+++ b/packages/agreement/src/usage_counters.ts
@@ -1,11 +1,11 @@
 /**
  * One instance's usage counters, written under its incarnation. Values are
- * cumulative and writes conditional on the row's version, so that neither a
- * repeated nor a late write counts twice or takes anything back. A peer keeps a
- * copy and writes it if the instance dies.
+ * cumulative and writes conditional on the row's version, so that a repeated or
+ * late write neither counts twice nor reverts anything. A peer keeps a copy and
+ * writes it if the instance dies.
  *
- * Store calls: `n` instances that flush every `f` seconds make `n / f` writes a
- * second while they serve, and no reads but after an unknown write.
+ * Table calls: `n` instances that flush every `f` seconds make `n / f` writes a
+ * second while they serve, and read only after a write that did not commit.
  */
 
 import type {
@@ -39,7 +39,7 @@
   readonly window: UsageWindowId;
   readonly key: string;
   readonly value: CounterValue;
-  /** Sequence and version of the row, as far as known. */
+  /** Sequence and version of the row; a write under way is taken as written. */
   readonly writtenSequence: number;
   readonly version: number;
 }
@@ -52,19 +52,19 @@
   readonly windows: readonly WindowCounters[];
   readonly call: number;
   readonly pending: 'none' | 'writing' | 'reading';
-  /** A write's outcome is unknown: rows are read before the next one. */
+  /** A write conflicted or its result was unknown: rows are read before more. */
   readonly inDoubt: boolean;
 }
 
 export type CountersEvent =
   | TableEvent
-  /** A request that was served; counted in the window of its end. */
+  /** A served request; counted in the window in which it ended. */
   | {
       readonly kind: 'count';
       readonly line: UsageLine;
       readonly nowEpochMs: number;
     }
-  /** To be given every few seconds, and until nothing is dirty at the end. */
+  /** To be sent every few seconds, and at shutdown until all is written. */
   | {readonly kind: 'flush'};
 
 export type CountersStep = Step<CountersState, TableEffect>;
@@ -82,18 +82,18 @@
 }
 
 /**
- * Whether all that was counted is known to be in the table.
+ * Whether everything counted is known to be in the table.
  *
  * @example
- * areCountersWritten(state); // asked before a graceful shutdown ends
+ * areCountersWritten(state); // checked before a graceful shutdown ends
  */
 export function areCountersWritten(state: CountersState): boolean {
   return state.pending === 'none' && findDirty(state).length === 0;
 }
 
 /**
- * What the peer that keeps a copy is told, often: it is to keep, by key, the
- * value with the highest sequence until a row has as much.
+ * Counters to send, often, to the peer that keeps a copy. For each key the peer
+ * must keep the value with the highest sequence until the row has that sequence.
  *
  * @example
  * const copies = listCopies(state);
@@ -105,7 +105,7 @@
 }
 
 /**
- * Takes in a served request, the time to flush, or a result.
+ * Handles a served request, the time to flush, or the result of a table call.
  *
  * @example
  * ({state, effects} = transitionCounters(state, {kind: 'flush'}));
@@ -121,11 +121,11 @@
       return state.pending === 'none' ? flush(state) : {state, effects: []};
     case 'read_answered':
       return event.call === state.call
-        ? takeRows(state, event.result)
+        ? handleReadResult(state, event.result)
         : {state, effects: []};
     case 'transaction_answered':
       return event.call === state.call
-        ? takeCommit(state, event.result)
+        ? handleCommitResult(state, event.result)
         : {state, effects: []};
     case 'waited':
       return {state, effects: []};
@@ -150,8 +150,9 @@
     };
     return {...state, windows: [...state.windows, fresh]};
   }
-  // A clock that is set back must not open a former window again: its counters
-  // may be forgotten here, and starting from nothing would undo what is written.
+  // If the clock is set back, the newest window goes on counting. Counters of a
+  // former window may have been dropped from the state, and counting it again
+  // from zero would overwrite the figures in its row.
   const value: CounterValue = {
     sequence: newest.value.sequence + 1,
     lines: addLines(newest.value.lines, [line]),
@@ -183,7 +184,7 @@
     checks: dirty.map(({key, version}) => ({key, version})),
     writes: dirty.map(({key, value}) => ({key, value})),
   };
-  // What is counted while the write is under way stays dirty after it.
+  // Requests counted while the write is under way stay dirty after it.
   const windows = state.windows.map(each =>
     dirty.includes(each)
       ? {...each, writtenSequence: each.value.sequence}
@@ -196,7 +197,7 @@
   }));
 }
 
-function takeCommit(
+function handleCommitResult(
   state: CountersState,
   result: TransactionResult,
 ): CountersStep {
@@ -206,15 +207,18 @@
       ...each,
       version: result.versions[each.key] ?? each.version,
     }));
-    return {state: forgetFormer({...idle, windows}), effects: []};
+    return {state: dropWrittenWindows({...idle, windows}), effects: []};
   }
-  // Nothing is known to be written; the rows, which a peer's copy or a late
-  // write may have changed, are read before the next try.
+  // Nothing is known to be written. The rows, which a peer's copy or a late
+  // write may have changed, are read before the next write.
   const windows = idle.windows.map(each => ({...each, writtenSequence: 0}));
   return {state: {...idle, windows, inDoubt: true}, effects: []};
 }
 
-function takeRows(state: CountersState, result: ReadResult): CountersStep {
+function handleReadResult(
+  state: CountersState,
+  result: ReadResult,
+): CountersStep {
   const idle: CountersState = {...state, pending: 'none'};
   if (result.kind === 'unavailable') {
     return {state: idle, effects: []};
@@ -232,7 +236,7 @@
   return {...counters, version: row.version, writtenSequence: sequence};
 }
 
-function forgetFormer(state: CountersState): CountersState {
+function dropWrittenWindows(state: CountersState): CountersState {
   const newest = state.windows.at(-1);
   const windows = state.windows.filter(
     each => each === newest || each.value.sequence > each.writtenSequence,
@@ -241,9 +245,9 @@
 }
 
 /**
- * What a peer that keeps a copy writes when the instance is gone, given the row
- * as read; undefined if the row has as much. After an unknown outcome it is
- * read and asked again.
+ * The transaction by which a peer writes its copy when the instance is gone,
+ * given the row as read; undefined if the row has the copy's sequence or a higher
+ * one. After an unknown outcome, read the row and call this again.
  *
  * @example
  * const transaction = planCopyWrite(findRow(rows, key), copy);
--- a/packages/agreement/src/usage_progress.ts
+++ b/packages/agreement/src/usage_progress.ts
@@ -1,4 +1,4 @@
-/** Which window is next to be sealed or reported, and how that is written. */
+/** Which window to seal or report next, and the write of the progress row. */
 
 import type {LeaseName, UsageWindowId} from '@snipestage/types/ids.js';
 import type {Row, TableTransaction} from '@snipestage/types/table.js';
@@ -12,16 +12,16 @@
 
 /** What the reporter has to do next. */
 export type UsageTask =
-  /** Nothing was ever sealed: the progress row is to be written first. */
+  /** No progress row exists: it must be written before the first seal. */
   | {readonly kind: 'begin'; readonly progress: ProgressValue}
   | {readonly kind: 'report'; readonly window: UsageWindowId}
   | {readonly kind: 'seal'; readonly window: UsageWindowId}
-  /** Everything up to now is sealed and reported. */
+  /** Every window whose grace period is over is sealed and reported. */
   | {readonly kind: 'rest'};
 
 /**
- * What is sealed is reported before the next window is sealed, and a window is
- * sealed once its grace is over.
+ * Chooses the next task: a sealed window is reported before the next one is
+ * sealed, and a window is sealed once its grace period is over.
  *
  * @example
  * const task = chooseTask(progress, Date.now(), {windowMs, graceMs});
@@ -32,7 +32,7 @@
   {windowMs, graceMs}: {readonly windowMs: number; readonly graceMs: number},
 ): UsageTask {
   if (progress === null) {
-    // The first window ever sealed takes in whatever was counted before it.
+    // The first seal includes whatever was counted before its window.
     const startMs = windowStart(windowAt(nowEpochMs, windowMs));
     return {
       kind: 'begin',
@@ -50,7 +50,7 @@
 }
 
 /**
- * The progress once the next window to report was answered for.
+ * The progress after the report of the next window was accepted or refused.
  *
  * @example
  * advanceReported({nextToSealEpochMs: 120, nextToReportEpochMs: 60}, 60);
@@ -64,8 +64,8 @@
 }
 
 /**
- * The transaction that writes the progress row, if it is as it was read and the
- * lease has not changed hands.
+ * The transaction that writes the progress row, if the row is still at the
+ * version that was read and the lease has not changed hands.
  *
  * @example
  * composeProgressWrite({lease, term, progress: row, value});
--- a/packages/agreement/src/usage_reporter_messages.ts
+++ b/packages/agreement/src/usage_reporter_messages.ts
@@ -1,4 +1,4 @@
-/** What the usage reporter is told, what it asks for, and where it stands. */
+/** Options, events, effects and state of the usage reporter. */
 
 import type {LeaseName, UsageWindowId} from '@snipestage/types/ids.js';
 import type {
@@ -9,19 +9,19 @@
 import type {LeaseTerm} from './lease_rows.js';
 import type {Step, TableEffect, TableEvent} from './table_effects.js';
 
-/** How windows are cut and reported. */
+/** Options of the usage reporter. */
 export interface ReporterOptions {
   readonly lease: LeaseName;
   readonly windowMs: number;
-  /** How long after its end a window waits for counters. */
+  /** How long after its end a window is left open for late counters. */
   readonly graceMs: number;
   /** See {@link SealOptions}; ten windows if absent. */
-  readonly keepCountersMs?: number;
+  readonly counterRetentionMs?: number;
   /** See {@link SealOptions}; seven days if absent. */
-  readonly keepAccountedMs?: number;
+  readonly accountedRetentionMs?: number;
 }
 
-/** Where the reporter stands; each phase awaits the call numbered `call`. */
+/** Phase of the reporter; all but `idle` await the result of `call`. */
 export type ReporterPhase =
   | {readonly kind: 'idle'}
   | {readonly kind: 'reading_progress'; readonly nowEpochMs: number}
@@ -49,18 +49,18 @@
   | TableEvent
   | {readonly kind: 'acquired'; readonly held: LeaseTerm}
   | {readonly kind: 'lost'}
-  /** To be given every second or so; `nowEpochMs` only says what has ended. */
+  /** To be sent every second or so; `nowEpochMs` only shows which windows ended. */
   | {readonly kind: 'tick'; readonly nowEpochMs: number}
   | {
       readonly kind: 'report_answered';
       readonly call: number;
-      /** `not_sent`: the guard said no. */
+      /** `not_sent`: the lease was not in force when it was to be sent. */
       readonly result: ReportResult | {readonly kind: 'not_sent'};
     };
 
 export type ReporterEffect =
   | TableEffect
-  /** Send it if `leaseInForce` in the turn in which its bytes leave. */
+  /** Send it only if `leaseInForce` in the turn that writes its bytes. */
   | {
       readonly kind: 'report';
       readonly call: number;
--- a/packages/agreement/src/usage_rows.ts
+++ b/packages/agreement/src/usage_rows.ts
@@ -4,7 +4,7 @@
  * - `usage/counters/<window>/<instance>/<incarnation>`: cumulative figures.
  * - `usage/seals/<window>`: the figures to report, never rewritten.
  * - `usage/accounted/<window>`: how much of each counter of the window is in
- *   some seal, its own window's or, for what came late, a later one's.
+ *   seals: its own window's and, for late counters, those of later windows.
  * - `usage/progress`: which windows are sealed and reported, in order.
  */
 
@@ -25,7 +25,7 @@
 const SEALS_PREFIX = 'usage/seals/';
 const EPOCH_DIGITS = 15;
 
-/** Value of a counter row; one with a higher sequence contains the lower. */
+/** Value of a counter row; a higher sequence includes all lower ones. */
 export interface CounterValue {
   readonly sequence: number;
   readonly lines: readonly UsageLine[];
@@ -36,19 +36,19 @@
   readonly lines: readonly UsageLine[];
 }
 
-/** Value of an accounted row: by counter key, the value that is in seals. */
+/** Value of an accounted row: by counter key, the value already in seals. */
 export interface AccountedValue {
   readonly counters: Readonly<Record<string, CounterValue>>;
 }
 
-/** Value of the progress row: starts of the next windows to deal with. */
+/** Value of the progress row: starts of the next windows to seal and report. */
 export interface ProgressValue {
   readonly nextToSealEpochMs: number;
   readonly nextToReportEpochMs: number;
 }
 
 /**
- * The window in which an instant lies.
+ * The window that contains an instant.
  *
  * @example
  * windowAt(90_000, 60_000); // '000000000060000'
@@ -66,7 +66,7 @@
   return Number(window);
 }
 
-/** Key of the row in which one life of an instance counts. */
+/** Key of the counter row of one incarnation of an instance. */
 export function counterKey(
   window: UsageWindowId,
   instance: InstanceId,
@@ -90,14 +90,14 @@
   return SEALS_PREFIX + window;
 }
 
-/** Key of the row that tells which part of a window's counters is in seals. */
+/** Key of the row that records how much of a window's counters is in seals. */
 export function accountedKey(window: UsageWindowId): string {
   return ACCOUNTED_PREFIX + window;
 }
 
 /**
- * Adds lines by client account and request class; `sign` -1 takes away. Lines
- * without figures are left out, the others sorted.
+ * Adds lines by client account and request class; with `sign` -1 it subtracts
+ * `right`. Lines whose figures are all zero are left out; the others are sorted.
  *
  * @example
  * const lines = addLines(sealed, late);
--- a/packages/agreement/src/usage_seal.ts
+++ b/packages/agreement/src/usage_seal.ts
@@ -1,14 +1,16 @@
 /**
- * What a seal contains: the window's counters, and what came late for windows
- * that were sealed before. Each part of a counter is in exactly one seal: how
- * much of it is, is written in the same transaction as the seal.
+ * Contents of a seal: the window's counters, and late counters of windows that
+ * were sealed before. Each part of a counter is in exactly one seal, because the
+ * transaction that writes the seal also records how much of each counter is in
+ * seals (the accounted rows).
  *
- * The same transaction also clears up, so that scans stay short: counters of
- * former windows that are in seals, and what was accounted of a window long
- * past. A counter that is written again after its row was deleted is still only
- * sealed for what is not accounted. Deleting apart from the seal would not do:
- * a deletion that arrives late could hit a row that was written anew under the
- * same version; a seal takes effect once for each state of the progress row.
+ * The same transaction deletes old rows, so that scans stay short: counters of
+ * former windows that are fully in seals, and the accounted row of a window past
+ * its retention. If a counter is written again after its row was deleted, only
+ * the part that is not accounted yet is sealed. Deletions can't be transactions
+ * of their own: one that arrives late could delete a row that was written anew
+ * under the same version, whereas a seal takes effect once for each state of the
+ * progress row.
  */
 
 import type {UsageWindowId} from '@snipestage/types/ids.js';
@@ -32,10 +34,10 @@
   type SealValue,
 } from './usage_rows.js';
 
-const KEPT_WINDOWS = 10;
-const SEVEN_DAYS_MS = 7 * 24 * 60 * 60 * 1000;
+const DEFAULT_COUNTER_RETENTION_WINDOW_COUNT = 10;
+const DEFAULT_ACCOUNTED_RETENTION_MS = 7 * 24 * 60 * 60 * 1000;
 
-/** What a seal is made from. */
+/** Options of {@link composeSeal}. */
 export interface SealOptions {
   readonly window: UsageWindowId;
   readonly windowMs: number;
@@ -44,38 +46,41 @@
   readonly progress: Row;
   readonly fence: {readonly key: string; readonly version: number};
   /**
-   * How long after its window's start a counter that is in seals is kept; ten
-   * windows if absent.
+   * How long after its window's start a counter row whose value is in seals is
+   * kept; ten windows if absent.
    */
-  readonly keepCountersMs?: number;
+  readonly counterRetentionMs?: number;
   /**
-   * How long after its window's start it is known what was accounted. A counter
-   * that comes still later would be billed again: instances must be gone by
-   * then. Seven days if absent.
+   * How long after a window's start its accounted row is kept. A counter of the
+   * window that is written still later would be billed again, so no instance may
+   * write one by then. Seven days if absent.
    */
-  readonly keepAccountedMs?: number;
+  readonly accountedRetentionMs?: number;
 }
 
 /**
- * The transaction that seals a window, and only if no one has: the progress row
- * changes with each seal, and the fence row with each holder of the lease.
+ * The transaction that seals a window, unless it is sealed already: it checks
+ * the progress row, which changes with each seal, and the fence row, which
+ * changes with each holder of the lease.
  *
  * @example
  * const transaction = composeSeal(options);
  */
 export function composeSeal(options: SealOptions): TableTransaction {
   const {window, windowMs, progress, fence} = options;
-  const {keepCountersMs = KEPT_WINDOWS * windowMs} = options;
+  const {
+    counterRetentionMs = DEFAULT_COUNTER_RETENTION_WINDOW_COUNT * windowMs,
+  } = options;
   const counters = options.counters
     .filter(row => windowOfKey(row.key) <= window)
-    .map(row => ({row, missing: findMissing(row, options.accounted)}));
-  const parts = counters.filter(({missing}) => missing.length > 0);
-  const settled = counters.filter(({missing}) => missing.length === 0);
+    .map(row => ({row, unsealed: findUnsealedLines(row, options.accounted)}));
+  const parts = counters.filter(({unsealed}) => unsealed.length > 0);
+  const settled = counters.filter(({unsealed}) => unsealed.length === 0);
   const old = settled
     .map(({row}) => row)
-    .filter(row => isOlder(row, window, keepCountersMs));
+    .filter(row => isOlder(row, window, counterRetentionMs));
   const lines = parts.reduce<readonly UsageLine[]>(
-    (sum, {missing}) => addLines(sum, missing),
+    (sum, {unsealed}) => addLines(sum, unsealed),
     [],
   );
   const seal: SealValue = {lines};
@@ -93,7 +98,7 @@
     ],
     writes: [
       ...old.map(({key}) => ({key, value: null})),
-      ...forgetWindow(options),
+      ...composeAccountedDeletion(options),
       {key: sealKey(window), value: seal},
       {key: PROGRESS_KEY, value: next},
       ...composeAccounted(
@@ -105,7 +110,7 @@
 }
 
 /**
- * The report of the window that begins at `startEpochMs`, with the figures of
+ * The report of the window that starts at `startEpochMs`, with the figures of
  * its seal.
  *
  * @example
@@ -120,7 +125,7 @@
   return {window, startEpochMs, endEpochMs: startEpochMs + windowMs, lines};
 }
 
-function findMissing(
+function findUnsealedLines(
   row: Row,
   accounted: readonly Row[],
 ): readonly UsageLine[] {
@@ -129,8 +134,8 @@
   if (sealed === undefined) {
     return counter.lines;
   }
-  // A peer's older copy may stand where a newer row was sealed and cleared up;
-  // the difference would be taken off the bill.
+  // A peer may write its older copy after a newer row was sealed and deleted.
+  // The difference would be negative and would reduce the bill.
   const newer = counter.sequence > sealed.sequence;
   return newer ? addLines(counter.lines, sealed.lines, -1) : [];
 }
@@ -163,10 +168,17 @@
   return windowStart(windowOfKey(row.key)) + byMs <= windowStart(than);
 }
 
-/** Windows are sealed one after another, so each is once the one to forget. */
-function forgetWindow(options: SealOptions): readonly RowWrite[] {
-  const {window, windowMs, keepAccountedMs = SEVEN_DAYS_MS} = options;
-  const startMs = windowStart(window) - keepAccountedMs;
+/**
+ * Deletes the accounted row of the window that passes its retention with this
+ * seal. Windows are sealed one after another, so each gets its turn once.
+ */
+function composeAccountedDeletion(options: SealOptions): readonly RowWrite[] {
+  const {
+    window,
+    windowMs,
+    accountedRetentionMs = DEFAULT_ACCOUNTED_RETENTION_MS,
+  } = options;
+  const startMs = windowStart(window) - accountedRetentionMs;
   if (startMs < 0) {
     return [];
   }
