--- a/packages/agreement/src/lease.test.ts
+++ b/packages/agreement/src/lease.test.ts
@@ -67,14 +67,14 @@
   const polled = feed(EMPTY_TABLE, begin('a'), tick(0));
   const taken = feed(polled.table, polled.state, tick(1));
   const renewing = transitionLease(taken.state, tick(1500));
-  const leaving = transitionLease(renewing.state, {
+  const retired = transitionLease(renewing.state, {
     kind: 'retire',
     nowMs: 1501,
   });
-  t.like(leaving.effects, [{kind: 'lost'}]);
+  t.like(retired.effects, [{kind: 'lost'}]);
   const effect = renewing.effects[0] as TableEffect;
   const done = carryOut(taken.table, effect, 1502);
-  const left = feed(done.table, leaving.state, done.event);
+  const left = feed(done.table, retired.state, done.event);
   t.true((left.table['leases/usage'].value as LeaseValue).released);
 });
 
@@ -132,7 +132,7 @@
   const mutant = createLeaseModel({orders: false, marginMs: 0, losses: 0});
   const {violation, trace} = explore(mutant, LIMIT);
   t.log(violation, 'after', trace.length, 'actions');
-  t.is(violation, 'two believe that they are in charge');
+  t.is(violation, 'two instances act as the holder');
 });
 
 /** Numbers a renewal from the row, so that two renewals can be equal. */
@@ -164,5 +164,5 @@
   });
   const {violation, trace} = explore(mutant, LIMIT);
   t.log(violation, 'after', trace.length, 'actions');
-  t.is(violation, 'two believe that they are in charge');
+  t.is(violation, 'two instances act as the holder');
 });
--- a/packages/agreement/src/models/claim_model.ts
+++ b/packages/agreement/src/models/claim_model.ts
@@ -1,7 +1,8 @@
 /**
  * Specification of claims: attempts for one key at instances that may crash,
- * over a table that loses answers. Nothing runs twice, a refusal as not run is
- * true, an answer is given again as it was, and a key that never ran is freed.
+ * over a table that loses answers. Invariants: the request never runs twice, an
+ * attempt gets one decision (so that one refused as not run never runs), an
+ * answer is replayed unchanged, and a key that never ran is free again.
  */
 
 import {brandAs} from '@snipestage/types/ids.js';
@@ -33,7 +34,7 @@
   readonly pending: TableEffect | undefined;
   readonly decisions: readonly ClaimDecision[];
   readonly runs: number;
-  /** How its end was told; one that crashed before never tells. */
+  /** The end that it was notified of; `no` if it crashed before. */
   readonly ended: 'no' | 'not_run' | 'may_have_run' | 'ran';
   readonly crashed: boolean;
 }
@@ -60,7 +61,7 @@
     }
   | {readonly type: 'crash'; readonly attempt: number; readonly runs: number};
 
-/** How large the model is, and the rule that a mutant breaks. */
+/** Size of the model, and the mutation, if any. */
 export interface ClaimModelOptions {
   readonly attempts?: number;
   readonly losses?: number;
@@ -227,12 +228,12 @@
     .map(({body}) => (body.kind === 'inline' ? body.text : body.key));
   const ranBy = attempts.findIndex(attempt => attempt.ended === 'ran');
   if (replayed.some(text => text !== `booked by ${ranBy}`)) {
-    return 'an answer was given that no attempt got';
+    return 'a replayed answer is not the one that the attempt got';
   }
   return isBlocked(state) ? 'a key that never ran is not free' : undefined;
 }
 
-/** Nothing is under way, nothing ran or crashed, and yet the row is claimed. */
+/** Nothing is under way, nothing ran or crashed, but the row is not released. */
 function isBlocked({world, attempts}: ClaimWorld): boolean {
   const settled = attempts.every(
     ({state, pending, ended, crashed}) =>
--- a/packages/agreement/src/models/explore.ts
+++ b/packages/agreement/src/models/explore.ts
@@ -1,28 +1,28 @@
 /**
- * Exhaustive exploration of a small specification, after breadth-first search
- * as TLC does it, by `getAdjacencyMap` of `xstate/graph`.
+ * Exhaustive exploration of a small specification by breadth-first search, as
+ * TLC does, with `getAdjacencyMap` of `xstate/graph`.
  */
 
 import {fromTransition, type EventObject} from 'xstate';
 import {adjacencyMapToArray, getAdjacencyMap} from 'xstate/graph';
 
-/** A specification: a first state, what may happen next, and what must hold. */
+/** A specification: the initial state, the possible actions, the invariants. */
 export interface Model<State, Action extends EventObject> {
   readonly initial: State;
   listActions(state: State): readonly Action[];
   next(state: State, action: Action): State;
-  /** What is wrong with a state; undefined if nothing is. */
+  /** The invariant that a state violates; undefined if it violates none. */
   findViolation(state: State): string | undefined;
-  /** The same text for states that behave alike; JSON if absent. */
+  /** The same text for equivalent states; JSON if absent. */
   serialize?(state: State): string;
 }
 
-/** What an exploration found. */
+/** Result of an exploration. */
 export interface Exploration<Action> {
   readonly states: number;
   readonly transitions: number;
   readonly violation: string | undefined;
-  /** The actions that lead to the violation. */
+  /** The actions that lead to the violation; empty without one. */
   readonly trace: readonly Action[];
 }
 
@@ -32,10 +32,11 @@
 }
 
 /**
- * Visits every state that can be reached; throws past `limit` transitions.
+ * Visits every reachable state until one violates an invariant; throws past
+ * `limit` transitions.
  *
  * @example
- * const {states, violation} = explore(claimModel(), 1_000_000);
+ * const {states, violation} = explore(createClaimModel(), 1_000_000);
  */
 export function explore<State extends object, Action extends EventObject>(
   model: Model<State, Action>,
--- a/packages/agreement/src/models/lease_model.ts
+++ b/packages/agreement/src/models/lease_model.ts
@@ -1,8 +1,8 @@
 /**
  * Specification of lease and orders: two instances whose clocks drift apart, a
- * table that loses answers, orders that arrive late. A process that is paused,
- * or has crashed, is one whose actions don't come while time passes. At no time
- * do two believe that they are in charge, and no order of an earlier holder changes
+ * table that loses answers, orders that arrive late. A paused or crashed process
+ * is one that takes no actions while time passes. Invariants: two instances never
+ * act as the holder at the same time, and no order of an earlier holder changes
  * anything at the platform after one of a later holder.
  */
 
@@ -86,7 +86,7 @@
     }
   });
   state.processes.forEach((process, index) => {
-    // Both being alike, it may as well be the first that first holds the lease.
+    // The processes are symmetric, so the first is the first to take the lease.
     if (index === 0 || lease !== undefined) {
       actions.push(...listProcessActions(state, process, index, mayRetire));
     }
@@ -158,9 +158,9 @@
 }
 
 /**
- * A poll is answered at once. Nothing is lost by that: an answer that comes
- * later and shows the row as it still is equals a later poll, and one that shows
- * it as it no longer is leads to a write that conflicts.
+ * Answers a poll at once. This leaves out no behaviour: a later answer that shows
+ * the row as it still is equals a later poll, and one that shows an older row
+ * leads to a write that conflicts.
  */
 function answerPoll(
   world: World,
@@ -189,7 +189,7 @@
     ({lease, nowMs}) => leaseInForce(lease, nowMs) !== undefined,
   );
   if (inCharge.length > 1) {
-    return 'two believe that they are in charge';
+    return 'two instances act as the holder';
   }
   const {tokens} = state;
   const reverted = tokens.some((token, i) => i > 0 && token < tokens[i - 1]);
--- a/packages/agreement/src/models/lease_model_key.ts
+++ b/packages/agreement/src/models/lease_model_key.ts
@@ -1,11 +1,11 @@
-/** Which states of the specification of lease and orders behave alike. */
+/** Keys that are the same for equivalent states of lease and orders. */
 
 import type {LeaseWorld, Process} from './lease_world.js';
 
 /**
- * States behave alike if they differ only in when they come about and in how
- * far counters have risen: instants are told relative to the process's clock,
- * and versions, renewals and call numbers by their order.
+ * States are equivalent if they differ only in the time and in how far counters
+ * have risen: instants are written relative to the process's clock, and versions,
+ * renewals and call numbers as their ranks.
  */
 export function serializeLeaseWorld(state: LeaseWorld): string {
   const processes = state.processes.map(serializeTimes);
@@ -29,7 +29,7 @@
   });
 }
 
-/** They only set how long to wait, which is left to the exploration. */
+/** Fields that only set the length of a wait, which the exploration chooses. */
 const RETRY_FIELDS = ['tries', 'delayMs'];
 const COUNTERS = /"(version|fenceVersion|renewals|call)":(\d+)/g;
 const COUNTER_OF: Readonly<Record<string, string>> = {
--- a/packages/agreement/src/models/lease_model_process.ts
+++ b/packages/agreement/src/models/lease_model_process.ts
@@ -1,4 +1,4 @@
-/** One instance of the specification: the production functions, joined. */
+/** One instance of the specification: the production functions, combined. */
 
 import {
   brandAs,
@@ -15,7 +15,7 @@
 export const LEASE_NAME = brandAs<LeaseName>('orders/akl-a');
 const TERM_MS = 2;
 
-/** An instance that has heard of nothing yet. */
+/** An instance in its initial state. */
 export function beginProcess(
   index: number,
   options: LeaseModelOptions,
@@ -26,7 +26,7 @@
     incarnation: brandAs(`incarnation-${index}`),
     termMs: TERM_MS,
     marginMs: options.marginMs ?? 1,
-    // Due at every tick: when ticks come is left to the exploration.
+    // Due at every tick: the exploration chooses when ticks come.
     renewEveryMs: options.renewals === false ? Infinity : 0,
     pollEveryMs: 0,
   });
@@ -50,7 +50,7 @@
   };
 }
 
-/** Feeds its lease an event, and its orders what comes of that. */
+/** Feeds an event to the lease, and the resulting events to the orders. */
 export function onLease(
   process: Process,
   event: LeaseEvent,
@@ -76,7 +76,7 @@
   return next;
 }
 
-/** Feeds its orders an event; without any to give it has none. */
+/** Feeds an event to the orders; does nothing without desired contents. */
 export function onOrders(
   process: Process,
   event: OrdersEvent,
@@ -86,8 +86,8 @@
     return process;
   }
   const mutate = options.mutateOrders ?? (each => each);
-  const heard = mutate(event, process.orders);
-  const step: OrdersStep = transitionOrders(process.orders, heard);
+  const mutated = mutate(event, process.orders);
+  const step: OrdersStep = transitionOrders(process.orders, mutated);
   let next: Process = {...process, orders: step.state};
   if (event.kind === 'lost' || event.kind === 'acquired') {
     next = {...next, ordersCall: undefined, toSend: undefined};
--- a/packages/agreement/src/models/lease_model_sending.ts
+++ b/packages/agreement/src/models/lease_model_sending.ts
@@ -1,4 +1,4 @@
-/** Orders on their way to the platform, in the specification of lease and orders. */
+/** Orders sent to the platform, in the specification of lease and orders. */
 
 import {leaseInForce} from '../lease.js';
 import type {Order} from '../order_rows.js';
@@ -11,7 +11,7 @@
   type LeaseWorld,
 } from './lease_world.js';
 
-/** The check of the term and the write are one turn of the event loop. */
+/** Checks the term and sends the order, in one turn of the event loop. */
 export function sendOrder(
   state: LeaseWorld,
   index: number,
@@ -29,7 +29,10 @@
   return {...replaceProcess(state, index, idle), sent};
 }
 
-/** `answer_late`: taken for lost, it stays on its way. */
+/**
+ * Delivers an order, its answer, or both. With `answer_late` the sender gets an
+ * unknown result and the order may still arrive.
+ */
 export function receiveOrder(
   state: LeaseWorld,
   action: LeaseAction & {readonly type: 'arrive' | 'answer_late'},
@@ -42,10 +45,10 @@
     : {kind: 'unknown', reason: 'lost'};
   const process = state.processes[from];
   const event = {kind: 'order_answered', call, answer} as const;
-  const heard = onOrders(process, event, options);
+  const answeredProcess = onOrders(process, event, options);
   const lossesLeft = state.world.lossesLeft - (answered ? 0 : 1);
   const next: LeaseWorld = {
-    ...replaceProcess(state, from, heard),
+    ...replaceProcess(state, from, answeredProcess),
     world: {...state.world, lossesLeft},
   };
   return action.type === 'answer_late'
--- a/packages/agreement/src/models/lease_world.ts
+++ b/packages/agreement/src/models/lease_world.ts
@@ -1,6 +1,4 @@
-/**
- * What there is in the specification of lease and orders, and what may happen.
- */
+/** State and actions of the specification of lease and orders. */
 
 import type {LeaseState, LeaseStep} from '../lease.js';
 import type {Order} from '../order_rows.js';
@@ -14,7 +12,7 @@
   readonly order: Order;
 }
 
-/** One instance: its clock, its lease, its orders, and what they wait for. */
+/** One instance: its clock, its lease, its orders, and their pending calls. */
 export interface Process {
   readonly nowMs: number;
   readonly lease: LeaseState;
@@ -24,7 +22,7 @@
   readonly toSend: OrderEffect | undefined;
 }
 
-/** An order whose bytes have left; the process `from` awaits its answer. */
+/** An order that was sent; the process `from` awaits its answer. */
 export interface SentOrder extends OrderEffect {
   readonly from: number;
 }
@@ -33,7 +31,7 @@
   readonly world: World;
   readonly processes: readonly Process[];
   readonly sent: readonly SentOrder[];
-  /** Ids that the platform carried out, and their tokens in that order. */
+  /** Ids that the platform carried out, and their tokens in the same order. */
   readonly carriedOut: readonly string[];
   readonly tokens: readonly number[];
   readonly driftLeftMs: number;
@@ -58,9 +56,9 @@
     }
   | {readonly type: 'answer_late'; readonly index: number};
 
-/** How large the model is, and the rule that a mutant breaks. */
+/** Size of the model, and the mutation, if any. */
 export interface LeaseModelOptions {
-  /** No time passes after this fencing token. */
+  /** No action follows once the lease has a higher fencing token. */
   readonly lastToken?: number;
   readonly marginMs?: number;
   readonly losses?: number;
@@ -75,7 +73,7 @@
   ) => OrdersEvent;
 }
 
-/** The world with another state of one process. */
+/** The world with one process replaced. */
 export function replaceProcess(
   state: LeaseWorld,
   index: number,
--- a/packages/agreement/src/models/measure_tickets.ts
+++ b/packages/agreement/src/models/measure_tickets.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how often tickets of operators who work at once get in each other's
- * way, under either strategy, over an in-memory table.
+ * Measures how often tickets submitted at the same time conflict, under either
+ * strategy, over an in-memory table.
  */
 
 import type {
@@ -18,13 +18,13 @@
 import type {TicketStrategy} from '../ticket_plan.js';
 import {carryOut, EMPTY_TABLE, type TableModel} from './table_model.js';
 
-/** What became of all tickets of a measurement. */
+/** Counts of a measurement. */
 export interface TicketMeasure {
   readonly tickets: number;
   readonly accepted: number;
-  /** Ended with any other outcome. */
+  /** Tickets with any outcome but `accepted`. */
   readonly refused: number;
-  /** Needed more than one transaction. */
+  /** Tickets that needed more than one transaction. */
   readonly retried: number;
   readonly transactions: number;
   readonly reads: number;
@@ -36,9 +36,9 @@
 }
 
 /**
- * Lets `operators` file a ticket each at once, `rounds` times over, with the
- * steps of all in a seeded random order. Each ticket changes an account of its
- * own; all accounts refer to one request class.
+ * Lets `operators` submit one ticket each at the same time, in `rounds` rounds,
+ * with the steps of all in a seeded random order. Each operator's tickets change
+ * one account; all accounts refer to the same request class.
  *
  * @example
  * measureTickets({operators: 16, strategy: 'dependency', rounds: 50, seed: 1});
--- a/packages/agreement/src/models/revision_model.test.ts
+++ b/packages/agreement/src/models/revision_model.test.ts
@@ -8,10 +8,10 @@
 
 const LIMIT = 300_000;
 
-// Operators file at once, answers of the table are lost, news between peers is
-// late, doubled or crossed. An operator would be told of a change that never
-// came, or a withdrawn key would work again.
-test('what operators hear stays true and revisions only rise', t => {
+// Operators submit tickets at once, the table's answers are lost, messages between
+// peers are late, repeated or out of order. Guards against reporting a change that
+// never took effect, and against a withdrawn key that works again.
+test('outcomes of tickets stay true and revisions only rise', t => {
   const sizes: RevisionModelOptions[] = [
     {tickets: 2, losses: 2, peer: false},
     {tickets: 3, losses: 0, peer: true},
@@ -24,7 +24,7 @@
   }
 });
 
-test('the model finds a reader that applies lower revisions', t => {
+test('the model catches a reader that applies lower revisions', t => {
   const mutant = createRevisionModel({
     mutateStep: (step, event) =>
       event.kind === 'peer_snapshot'
@@ -36,7 +36,7 @@
   t.is(violation, 'a reader went back to a lower revision');
 });
 
-/** Takes the head as it was before the scan for the one after it. */
+/** Uses the head read before the scan in place of the one read after it. */
 function skipConfirming(step: RevisionStep): RevisionStep {
   const {poll, call} = step.state;
   if (poll.phase !== 'confirming') {
@@ -47,9 +47,9 @@
   return transitionRevisions(step.state, event);
 }
 
-test('the model finds a scan after which the head is not read again', t => {
+test('the model catches a scan after which the head is not read again', t => {
   const options = {tickets: 3, peer: false, mutateStep: skipConfirming};
   const {violation, trace} = explore(createRevisionModel(options), LIMIT);
   t.log(violation, 'after', trace.length, 'actions');
-  t.is(violation, 'what is in force is no revision');
+  t.is(violation, 'a snapshot equals no revision');
 });
--- a/packages/agreement/src/models/revision_model.ts
+++ b/packages/agreement/src/models/revision_model.ts
@@ -1,9 +1,9 @@
 /**
- * Specification of tickets and revisions: operators who file tickets on the same
- * objects over a table that loses answers, a reader that polls, and a peer that
- * only hears from it, late, twice or out of order. What an operator is told
- * stays true, and what is in force is always one whole revision, never a lower
- * one than before.
+ * Specification of tickets and revisions: operators who submit tickets on the
+ * same objects over a table that loses answers, a reader that polls, and a peer
+ * that only gets messages from that reader, late, repeated or out of order.
+ * Invariants: the outcome that an operator gets stays true, and the snapshot of
+ * each reader is always exactly one revision, never a lower one than before.
  */
 
 import type {
@@ -54,11 +54,11 @@
 export interface RevisionWorld {
   readonly world: World;
   readonly operators: readonly Operator[];
-  /** The first polls, the second hears from the first. */
+  /** The first polls, the second gets messages from the first. */
   readonly readers: readonly [Reader, Reader];
-  /** Told by the first; may arrive at any time and again. */
-  readonly mail: readonly RevisionEvent[];
-  /** The objects as they were at each revision. */
+  /** Messages of the first reader; each may arrive at any time, repeatedly. */
+  readonly peerMessages: readonly RevisionEvent[];
+  /** The objects at each revision. */
   readonly history: readonly string[];
 }
 
@@ -73,11 +73,11 @@
   | {readonly type: 'poll' | 'answer' | 'post'}
   | {readonly type: 'hear'; readonly index: number};
 
-/** How large the model is, and the rule that a mutant breaks. */
+/** Size of the model, and the mutation, if any. */
 export interface RevisionModelOptions {
   readonly tickets?: number;
   readonly losses?: number;
-  /** Whether a peer hears from the reader. */
+  /** Whether the reader sends messages to a peer. */
   readonly peer?: boolean;
   readonly mutateStep?: (
     step: RevisionStep,
@@ -107,7 +107,7 @@
       world: {table: EMPTY_TABLE, late: [], lossesLeft: options.losses ?? 0},
       operators: Array.from({length: options.tickets ?? 2}, () => idle),
       readers: [reader, reader],
-      mail: [],
+      peerMessages: [],
       history: ['{}'],
     },
     listActions: state => listRevisionActions(state, options.peer ?? true),
@@ -121,7 +121,7 @@
   };
 }
 
-/** Ticket n sets one object that all set, and one of its own. */
+/** A ticket that sets an object that all tickets set, and one of its own. */
 function composeTicket(index: number): ChangeTicket {
   const number = brandAs<ChangeTicketNumber>(index + 1);
   const changes = ['shared', `own-${index}`].map((id): ObjectChange => ({
@@ -150,7 +150,9 @@
   actions.push({type: idle ? 'poll' : 'answer'});
   if (withPeer) {
     actions.push({type: 'post'});
-    state.mail.forEach((_, index) => actions.push({type: 'hear', index}));
+    state.peerMessages.forEach((_, index) =>
+      actions.push({type: 'hear', index}),
+    );
   }
   return actions;
 }
@@ -188,9 +190,9 @@
       return onReader(state, 0, event, options);
     }
     case 'post':
-      return post(state);
+      return sendToPeer(state);
     case 'hear':
-      return onReader(state, 1, state.mail[action.index], options);
+      return onReader(state, 1, state.peerMessages[action.index], options);
   }
 }
 
@@ -205,8 +207,8 @@
   return {...state, operators};
 }
 
-/** The first tells the second what that lacks, and all that it knows itself. */
-function post(state: RevisionWorld): RevisionWorld {
+/** Sends the second reader the first one's snapshot, and a delta if possible. */
+function sendToPeer(state: RevisionWorld): RevisionWorld {
   const [first, second] = state.readers;
   const {snapshot} = first.state;
   const messages: RevisionEvent[] = [
@@ -216,9 +218,9 @@
   if (answer !== undefined && 'changes' in answer) {
     messages.push({kind: 'peer_delta', peer: PEER, delta: answer, nowMs: 0});
   }
-  const known = new Set(state.mail.map(each => JSON.stringify(each)));
+  const known = new Set(state.peerMessages.map(each => JSON.stringify(each)));
   const fresh = messages.filter(each => !known.has(JSON.stringify(each)));
-  return {...state, mail: [...state.mail, ...fresh]};
+  return {...state, peerMessages: [...state.peerMessages, ...fresh]};
 }
 
 function onReader(
@@ -260,15 +262,15 @@
       return 'a reader went back to a lower revision';
     }
     if (canonicalJson(objects) !== state.history[revision]) {
-      return 'what is in force is no revision';
+      return 'a snapshot equals no revision';
     }
   }
-  const untrue = state.operators.some(({state: ticket}) => {
+  const hasFalseOutcome = state.operators.some(({state: ticket}) => {
     const kind = ticket?.outcome?.kind;
     const number = ticket?.ticket.number ?? brandAs<ChangeTicketNumber>(0);
     const taken = ticketKey(number) in state.world.table;
     const refused = kind === 'superseded' || kind === 'unavailable';
     return (kind === 'accepted' && !taken) || (refused && taken);
   });
-  return untrue ? 'an operator was told what is not so' : undefined;
+  return hasFalseOutcome ? 'the outcome of a ticket is false' : undefined;
 }
--- a/packages/agreement/src/models/table_model.ts
+++ b/packages/agreement/src/models/table_model.ts
@@ -76,7 +76,7 @@
 }
 
 /**
- * Carries out an effect with everything up and no answer lost.
+ * Carries out an effect; the table is available and no answer is lost.
  *
  * @example
  * const {table, event} = carryOut(before, effect, nowMs);
--- a/packages/agreement/src/models/usage_model.ts
+++ b/packages/agreement/src/models/usage_model.ts
@@ -1,9 +1,10 @@
 /**
- * Specification of usage windows: an instance that counts and writes late, a
- * peer with a copy, two reporters of which the former may not know that it was
- * replaced, over a table that loses answers. A crash is an instance whose
- * actions no longer come. No window is reported with two sets of figures, and
- * what is sealed is, to the unit, what the counters had.
+ * Specification of usage windows: an instance that counts and may write late, a
+ * peer with a copy, and two reporters of which the first may not know that it was
+ * replaced, over a table that loses answers. A crashed instance is one that takes
+ * no more actions. Invariants: no window is reported with different figures, no
+ * seal has negative figures, and the sealed figures are exactly those accounted
+ * and never more than what was counted.
  */
 
 import {
@@ -69,7 +70,11 @@
     ...options,
   };
   const initial: UsageWorld = {
-    world: {table: fence({}, 1), late: [], lossesLeft: options.losses ?? 0},
+    world: {
+      table: writeFence({}, 1),
+      late: [],
+      lossesLeft: options.losses ?? 0,
+    },
     nowEpochMs: 0,
     counter: beginCounters({
       instance: brandAs('akl-a-1'),
@@ -79,7 +84,10 @@
     counterCall: undefined,
     copies: [],
     counted: 0,
-    reporters: [holdTerm(1), {state: beginIdle(), pending: undefined}],
+    reporters: [
+      createReporterInTerm(1),
+      {state: createIdleState(), pending: undefined},
+    ],
     reported: {},
   };
   return {
@@ -94,7 +102,7 @@
   };
 }
 
-function beginIdle(): ReporterState {
+function createIdleState(): ReporterState {
   return beginReporter({
     lease: LEASE,
     windowMs: 1,
@@ -103,14 +111,17 @@
   });
 }
 
-function holdTerm(token: number): Reporter {
+function createReporterInTerm(token: number): Reporter {
   const fencingToken = brandAs<FencingToken>(token);
   const held = {fencingToken, fenceVersion: token};
-  const {state} = transitionReporter(beginIdle(), {kind: 'acquired', held});
+  const {state} = transitionReporter(createIdleState(), {
+    kind: 'acquired',
+    held,
+  });
   return {state, pending: undefined};
 }
 
-function fence(table: TableModel, token: number): TableModel {
+function writeFence(table: TableModel, token: number): TableModel {
   const value = {fencingToken: token};
   const writes = [{key: fenceKey(LEASE), value}];
   return commitTo(table, {checks: [], writes}).table;
@@ -186,8 +197,8 @@
     case 'window_ends':
       return {...state, nowEpochMs: nowEpochMs + 1};
     case 'take_over': {
-      const reporters = [state.reporters[0], holdTerm(2)];
-      const table = fence(world.table, 2);
+      const reporters = [state.reporters[0], createReporterInTerm(2)];
+      const table = writeFence(world.table, 2);
       return {...state, reporters, world: {...world, table}};
     }
     case 'tick': {
@@ -225,9 +236,9 @@
   const step = mutate(transitionReporter(former.state, event));
   const pending = step.effects[0] ?? former.pending;
   if (pending?.kind === 'read') {
-    // Answered at once: what a read row says is checked by its version when it
-    // is acted on, and seals are never rewritten. Scans, which are not checked,
-    // take their time.
+    // Reads are answered at once: if the rows change after the read, the
+    // transaction that relies on them conflicts, and seals are never rewritten.
+    // Scans, whose rows may change unnoticed, are answered by a later action.
     const {event: answer} = deliver(state.world, pending, 'answered', 0);
     return onReporter(
       withReporter(state, index, step.state),
--- a/packages/agreement/src/models/usage_model_rules.ts
+++ b/packages/agreement/src/models/usage_model_rules.ts
@@ -1,11 +1,11 @@
-/** What must hold in each state of the specification of usage windows. */
+/** Invariants of the specification of usage windows. */
 
 import type {UsageLine} from '@snipestage/types/platform_messages.js';
 import type {AccountedValue, SealValue} from '../usage_rows.js';
 import {scanTable, type TableModel} from './table_model.js';
 import type {UsageWorld} from './usage_world.js';
 
-/** What is wrong with a state; undefined if nothing is. */
+/** The invariant that a state violates; undefined if it violates none. */
 export function findUsageViolation(state: UsageWorld): string | undefined {
   const {reported, counted} = state;
   if (Object.values(reported).some(({length}) => length > 1)) {
@@ -14,12 +14,12 @@
   const {table} = state.world;
   const sealed = listSealed(table);
   if (sealed.some(({requests}) => requests < 0)) {
-    return 'a seal takes back what was billed';
+    return 'a seal has negative figures';
   }
   const sealedRequests = sumRequests(sealed);
   const accountedRequests = sumRequests(listAccounted(table));
   return sealedRequests !== accountedRequests || sealedRequests > counted
-    ? 'what is sealed is not what was counted'
+    ? 'sealed figures do not match the counters'
     : undefined;
 }
 
--- a/packages/agreement/src/models/usage_world.ts
+++ b/packages/agreement/src/models/usage_world.ts
@@ -1,4 +1,4 @@
-/** What there is in the specification of usage windows, and what may happen. */
+/** State and actions of the specification of usage windows. */
 
 import type {TableEffect} from '../table_effects.js';
 import type {
@@ -9,18 +9,18 @@
 import type {CountersState, listCopies} from '../usage_counters.js';
 import type {Delivery, LateAction, World} from './world_model.js';
 
-/** A reporter, and the effect whose result it awaits. */
+/** A reporter and its pending effect. */
 export interface Reporter {
   readonly state: ReporterState;
   readonly pending: ReporterEffect | undefined;
 }
 
-/** What a peer keeps of an instance's counters. */
+/** A peer's copy of an instance's counters. */
 export type Copy = ReturnType<typeof listCopies>[number];
 
 export interface UsageWorld {
   readonly world: World;
-  /** Windows are one unit long; the current one. */
+  /** The current time; windows are one unit long. */
   readonly nowEpochMs: number;
   readonly counter: CountersState;
   readonly counterCall: TableEffect | undefined;
@@ -42,7 +42,7 @@
       readonly delivery: Delivery;
     };
 
-/** How large the model is, and the rule that a mutant breaks. */
+/** Size of the model, and the mutation, if any. */
 export interface UsageModelOptions {
   readonly windows?: number;
   readonly counts?: number;
--- a/packages/agreement/src/models/whole_model.test.ts
+++ b/packages/agreement/src/models/whole_model.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import {createWholeModel, walk} from './whole_model.js';
 
-/** Fixed; a seed that ever failed is added and stays. */
+/** Fixed seeds; one that ever failed is added and stays. */
 const SEEDS = [20261202, 4, 38];
 const RUNS_PER_SEED = 100;
 const CHOICE = fc.record({
@@ -15,9 +15,9 @@
   size: 'max',
 });
 
-// All protocols run at once on one table that loses and delays answers, longer
-// than can be explored exhaustively. Any broken promise would show here as it
-// would to a caller or an operator: a request run twice, a bill that is wrong.
+// All protocols run at once on one table that loses and delays answers, in walks
+// longer than can be explored exhaustively. Guards against every violation that
+// the single models check, such as a request that runs twice or a wrong bill.
 test('no random interleaving of the whole package breaks a rule', t => {
   const model = createWholeModel({losses: 20});
   let steps = 0;
@@ -33,7 +33,7 @@
   t.pass();
 });
 
-test('the walks find a margin that was dropped', t => {
+test('the walks catch a lease without a margin', t => {
   const model = createWholeModel({losses: 20, marginMs: 0});
   const property = fc.property(
     CHOICES,
--- a/packages/agreement/src/models/whole_model.ts
+++ b/packages/agreement/src/models/whole_model.ts
@@ -1,6 +1,6 @@
 /**
- * All specifications side by side on one table, larger than can be explored
- * exhaustively, for random walks.
+ * All specifications combined over one table, for random walks: the combination
+ * is too large to be explored exhaustively.
  */
 
 import type {EventObject} from 'xstate';
@@ -26,14 +26,14 @@
 }
 
 /**
- * The composition; losses and what arrives late are shared by all parts.
+ * The combined model; all parts share the losses and delayed transactions.
  *
  * @example
  * const {state} = walk(createWholeModel({losses: 6}), choices);
  */
 export function createWholeModel(options: {
   readonly losses: number;
-  /** The lease's margin; without one the walks must find two in charge. */
+  /** The lease's margin; with 0 the walks must find two holders. */
   readonly marginMs?: number;
 }): Model<WholeWorld, WholeAction> {
   const parts = [
@@ -56,12 +56,12 @@
     initial: {world, parts: parts.map(({initial}) => initial)},
     listActions: state =>
       parts.flatMap((part, index) => listPartActions(part, index, state)),
-    next: (state, action) => act(parts[action.part], state, action),
+    next: (state, action) => performAction(parts[action.part], state, action),
     findViolation: state => findAnyViolation(parts, state),
   };
 }
 
-/** Late transactions are left to the first part, which notes their effect. */
+/** Only the first part has late transactions, as it records their effect. */
 function listPartActions(
   part: Part,
   index: number,
@@ -73,7 +73,7 @@
     .map(action => ({type: 'act', part: index, action}));
 }
 
-function act(
+function performAction(
   part: Part,
   state: WholeWorld,
   {part: index, action}: WholeAction,
@@ -97,13 +97,13 @@
   return undefined;
 }
 
-/** Which part acts next, and which of its actions, by remainder. */
+/** The next part to act, and a number that selects one of its actions. */
 export interface Choice {
   readonly part: number;
   readonly action: number;
 }
 
-/** Where a walk ended. */
+/** Result of a walk. */
 export interface Walk {
   readonly state: WholeWorld;
   readonly violation: string | undefined;
@@ -111,7 +111,8 @@
 }
 
 /**
- * Takes one action for each choice until something is wrong.
+ * Takes one action per choice until an invariant is violated. A choice of a part
+ * that has no action is skipped.
  *
  * @example
  * walk(model, [{part: 0, action: 4}]).violation; // undefined
--- a/packages/agreement/src/models/world_model.ts
+++ b/packages/agreement/src/models/world_model.ts
@@ -1,10 +1,10 @@
-/** A table whose answers get lost and whose transactions arrive late. */
+/** A table whose answers may be lost and whose transactions may arrive late. */
 
 import type {TableTransaction} from '@snipestage/types/table.js';
 import type {TableEffect, TableEvent} from '../table_effects.js';
 import {carryOut, commitTo, type TableModel} from './table_model.js';
 
-/** The table, what is still on its way to it, and how much may yet go wrong. */
+/** The table, delayed transactions, and the number of losses still allowed. */
 export interface World {
   readonly table: TableModel;
   readonly late: readonly TableTransaction[];
@@ -12,15 +12,17 @@
 }
 
 /**
+ * How a call of the table ends.
+ *
  * - `answered`: it takes effect and its answer arrives.
  * - `answer_lost`: it takes effect and its answer does not arrive.
- * - `delayed`: it is taken for lost, and takes effect at any later time or
+ * - `delayed`: it gets an unknown result, and takes effect at any later time or
  *   never.
  */
 export type Delivery = 'answered' | 'answer_lost' | 'delayed';
 
 /**
- * What can become of an effect.
+ * The deliveries that are possible for an effect.
  *
  * @example
  * listDeliveries(world, effect); // ['answered', 'answer_lost', 'delayed']
@@ -37,14 +39,14 @@
     : ['answered', 'answer_lost'];
 }
 
-/** The world after a delivery, and what the process hears. */
+/** The world after a delivery, and the event for the process. */
 export interface DeliveryStep {
   readonly world: World;
   readonly event: TableEvent;
 }
 
 /**
- * Lets a delivery happen.
+ * Carries out an effect with the given delivery.
  *
  * @example
  * const {world, event} = deliver(before, effect, 'answer_lost', nowMs);
@@ -76,7 +78,7 @@
 }
 
 /**
- * Lets a delayed transaction arrive after all.
+ * Lets a delayed transaction arrive.
  *
  * @example
  * const next = deliverLate(world, 0);
@@ -86,14 +88,14 @@
   return {...world, table, late: world.late.filter((_, i) => i !== index)};
 }
 
-/** A delayed transaction arrives after all. */
+/** A delayed transaction arrives. */
 export interface LateAction {
   readonly type: 'late';
   readonly index: number;
 }
 
 /**
- * The delayed transactions, each of which may arrive next.
+ * The actions by which each delayed transaction may arrive next.
  *
  * @example
  * const actions: Action[] = [...listLate(world)];
--- a/packages/agreement/src/usage.test.ts
+++ b/packages/agreement/src/usage.test.ts
@@ -190,5 +190,5 @@
   });
   const {violation, trace} = explore(mutant, LIMIT);
   t.log(violation, 'after', trace.length, 'actions');
-  t.is(violation, 'what is sealed is not what was counted');
+  t.is(violation, 'sealed figures do not match the counters');
 });
