--- a/packages/agreement/src/order_rows.ts
+++ b/packages/agreement/src/order_rows.ts
@@ -40,7 +40,7 @@
       readonly checksFencing: boolean;
     };
 
-/** Value of an intent row: the order that is sent under it. */
+/** Value of an intent row: the order that it announces. */
 export interface IntentValue {
   readonly order: Order;
 }
--- a/packages/agreement/src/revisions.ts
+++ b/packages/agreement/src/revisions.ts
@@ -24,7 +24,7 @@
 /** State of the configuration at an instance. */
 export interface RevisionState {
   readonly snapshot: ConfigurationSnapshot;
-  /** Whether a snapshot was ever adopted or confirmed; if not, it isn't ready. */
+  /** Whether a snapshot was ever adopted or confirmed; needed to be ready. */
   readonly loaded: boolean;
   /**
    * The last moment at which the snapshot was known to be the newest; shows how
