--- a/packages/agreement/src/claim_rows.ts
+++ b/packages/agreement/src/claim_rows.ts
@@ -52,7 +52,7 @@
 const SHARD_DIGITS = 2;
 
 /** Number of shards, for {@link claimShardPrefix}. */
-export const CLAIM_SHARDS = 256;
+export const CLAIM_SHARD_COUNT = 256;
 
 /**
  * Key of the claim row; a hash, as callers may choose any idempotency key.
--- a/packages/entry/src/admit/claim_cleanup_task.ts
+++ b/packages/entry/src/admit/claim_cleanup_task.ts
@@ -1,14 +1,14 @@
 /** Deletes expired claims, a small part of them at a time. */
 
 import {
-  CLAIM_SHARDS,
+  CLAIM_SHARD_COUNT,
   claimShardPrefix,
   planClaimCleanup,
 } from '@snipestage/agreement/claim_rows.js';
 import type {Platform} from '@snipestage/platform/platform.js';
 
 /** All shards come round within a day. */
-const SHARD_EVERY_MS = (24 * 60 * 60 * 1000) / CLAIM_SHARDS;
+const SHARD_EVERY_MS = (24 * 60 * 60 * 1000) / CLAIM_SHARD_COUNT;
 
 /** Options of {@link ClaimCleanupTask}. */
 export interface ClaimCleanupTaskOptions {
@@ -38,7 +38,7 @@
     const {platform, isInCharge} = this.options;
     if (!isInCharge()) return;
     const prefix = claimShardPrefix(this.shard);
-    this.shard = (this.shard + 1) % CLAIM_SHARDS;
+    this.shard = (this.shard + 1) % CLAIM_SHARD_COUNT;
     const scanned = await platform.scanRows(prefix);
     if (scanned.kind === 'unavailable') return;
     const nowEpochMs = (this.options.nowEpochMs ?? Date.now)();
--- a/packages/entry/src/admit/stop_gate.ts
+++ b/packages/entry/src/admit/stop_gate.ts
@@ -2,7 +2,7 @@
 
 import {RequestError} from '@snipestage/errors/request_error.js';
 import {
-  judgeStart,
+  decideStart,
   type AttemptLimit,
 } from '@snipestage/policy/stop_admission.js';
 import type {MonotonicClock} from '../clock.js';
@@ -96,7 +96,7 @@
 
   private judge(limit: AttemptLimit) {
     const nowMs = this.options.clock();
-    return judgeStart({limit, nowMs, stopEndsAtMs: this.endsAtMs});
+    return decideStart({limit, nowMs, stopEndsAtMs: this.endsAtMs});
   }
 }
 
--- a/packages/entry/src/choose/suspect_guard.ts
+++ b/packages/entry/src/choose/suspect_guard.ts
@@ -80,7 +80,7 @@
     const {clock} = this.options;
     const deadlineMs = clock() + remainingMs;
     for (;;) {
-      const judgement = this.table.judge(fingerprint, clock());
+      const judgement = this.table.classify(fingerprint, clock());
       if (judgement.kind === 'refuse') {
         throw suspectedCrash(judgement.retryAfterMs);
       }
@@ -117,7 +117,7 @@
     ran: {readonly fingerprint: Fingerprint; readonly alone: boolean},
     report: AttemptReport,
   ): void {
-    if (report.outcome === 'ok') this.table.finish(ran.fingerprint);
+    if (report.outcome === 'ok') this.table.markFinished(ran.fingerprint);
     if (report.brokeOff === true) this.reportCrash(permit, ran.alone);
     const nowMs = this.options.clock();
     const changes = this.table.takeChanges(nowMs);
--- a/packages/entry/src/send/budgeted_retries.ts
+++ b/packages/entry/src/send/budgeted_retries.ts
@@ -4,7 +4,7 @@
 import {
   ClassBudgets,
   DEFAULT_RETRY_BUDGET,
-  mayRetry,
+  decideRetry,
   type RetryDecision as BudgetDecision,
 } from '@snipestage/policy/retry_budget.js';
 import type {RequestClassId} from '@snipestage/types/ids.js';
@@ -38,7 +38,7 @@
   }
 
   decide(failed: FailedAttempt): RetryDecision {
-    const decision = mayRetry({
+    const decision = decideRetry({
       verdict: failed.verdict,
       idempotent: failed.repeatable,
       attempts: failed.attempts,
--- a/packages/gateway/src/answers.test.ts
+++ b/packages/gateway/src/answers.test.ts
@@ -366,7 +366,7 @@
   t.teardown(() => door.close());
   const {id} = await leaveStream(door, 0);
   t.is(door.state.monitor.failureShare(id, performance.now()), 0);
-  t.deepEqual(door.state.crashes.confirm(id, performance.now()), []);
+  t.deepEqual(door.state.crashes.confirmCrash(id, performance.now()), []);
 });
 
 test('a caller that leaves an endpoint that has gone silent tells of it', async t => {
--- a/packages/gateway/src/capacity_duty.ts
+++ b/packages/gateway/src/capacity_duty.ts
@@ -136,14 +136,14 @@
       scaling,
       dataCentres,
       needed,
-      neededNow: this.countNeededNow(service, endpoints),
+      currentlyNeeded: this.countCurrentlyNeeded(service, endpoints),
       cheapLeft: this.countCheapLeft(service, dataCentres),
       present: this.countPresent(id, dataCentres),
       evacuated: new Set(this.options.state.directory.listEvacuated()),
     });
   }
 
-  private countNeededNow(
+  private countCurrentlyNeeded(
     {id, engine}: Service,
     endpoints: readonly ServingEndpoint[],
   ): number {
--- a/packages/gateway/src/crash_reporter.ts
+++ b/packages/gateway/src/crash_reporter.ts
@@ -3,7 +3,7 @@
 import type {Logger} from '@snipestage/log/logger.js';
 import type {
   ReportedCrash,
-  SuspectJudgement,
+  SuspectDecision,
 } from '@snipestage/policy/suspects.js';
 import type {ServingEndpoint} from '@snipestage/routing/serving_endpoint.js';
 import type {Fingerprint, InstanceId} from '@snipestage/types/ids.js';
@@ -26,8 +26,11 @@
 
   constructor(private readonly options: CrashReporterOptions) {}
 
-  judge(fingerprint: Fingerprint): SuspectJudgement {
-    return this.options.state.suspects.judge(fingerprint, this.options.nowMs());
+  judge(fingerprint: Fingerprint): SuspectDecision {
+    return this.options.state.suspects.classify(
+      fingerprint,
+      this.options.nowMs(),
+    );
   }
 
   noteBroken(endpoint: ServingEndpoint, fingerprint: Fingerprint): void {
@@ -40,16 +43,16 @@
     fingerprint: Fingerprint | undefined,
   ): void {
     const {state} = this.options;
-    state.crashes.noteSound(endpoint.id);
+    state.crashes.noteAnswered(endpoint.id);
     if (fingerprint === undefined) return;
-    state.suspects.finish(fingerprint);
+    state.suspects.markFinished(fingerprint);
     this.publishChanges();
   }
 
   /** The endpoint refused a connection, or began a new life. */
   noteUnreachable(endpoint: ServingEndpoint): void {
     const {state, nowMs, instance, incarnation, logger} = this.options;
-    const inFlight = state.crashes.confirm(endpoint.id, nowMs());
+    const inFlight = state.crashes.confirmCrash(endpoint.id, nowMs());
     if (inFlight.length === 0) return;
     this.count += 1;
     const id = `${instance}/${incarnation}/${this.count}`;
--- a/packages/gateway/src/duties.ts
+++ b/packages/gateway/src/duties.ts
@@ -7,7 +7,7 @@
 import type {Logger} from '@snipestage/log/logger.js';
 import type {Platform} from '@snipestage/platform/platform.js';
 import type {AgreedClock} from '@snipestage/routing/agreed_clock.js';
-import {standsForLease} from '@snipestage/routing/lease_candidates.js';
+import {competesForLease} from '@snipestage/routing/lease_candidates.js';
 import {UsageWindows} from '@snipestage/routing/usage_windows.js';
 import {
   brandAs,
@@ -188,7 +188,7 @@
 
   private isLeaseCandidate(): boolean {
     const {settings, state, nowMs} = this.options;
-    return standsForLease({
+    return competesForLease({
       instance: settings.instance,
       lease: DUTIES_LEASE,
       instances: state.instances,
--- a/packages/gateway/src/duty_term.ts
+++ b/packages/gateway/src/duty_term.ts
@@ -2,7 +2,7 @@
 
 import type {LeaseTask} from '@snipestage/entry/agree/lease_task.js';
 import type {SendGuard} from '@snipestage/platform/platform.js';
-import {SuspensionWatch} from '@snipestage/routing/suspension_watch.js';
+import {SuspensionDetector} from '@snipestage/routing/suspension_detector.js';
 import type {FencingToken} from '@snipestage/types/ids.js';
 
 /** Options of {@link DutyTerm}. */
@@ -33,7 +33,7 @@
  * nobody has acted for at least the lease's margin.
  */
 export class DutyTerm {
-  private readonly watch: SuspensionWatch;
+  private readonly watch: SuspensionDetector;
   private jumpedAtMs = Number.NEGATIVE_INFINITY;
   /** Time and token of this process's last act. */
   private lastAct: {readonly token: FencingToken; atMs: number} | undefined;
@@ -44,7 +44,7 @@
 
   constructor(private readonly options: DutyTermOptions) {
     const {nowMs, nowEpochMs} = options;
-    this.watch = new SuspensionWatch(nowMs(), nowEpochMs());
+    this.watch = new SuspensionDetector(nowMs(), nowEpochMs());
     this.previousActAtMs = nowMs();
   }
 
--- a/packages/gateway/src/exchange_context.ts
+++ b/packages/gateway/src/exchange_context.ts
@@ -1,8 +1,8 @@
 /** What a request's handling goes by, and how one attempt of it ended. */
 
 import type {Logger} from '@snipestage/log/logger.js';
-import type {ConnectPatience} from '@snipestage/routing/connect_patience.js';
-import type {EndpointSign} from '@snipestage/routing/endpoint_monitor.js';
+import type {ConnectTimeout} from '@snipestage/routing/connect_timeout.js';
+import type {EndpointOutcome} from '@snipestage/routing/endpoint_monitor.js';
 import type {DataCentreId, Fingerprint} from '@snipestage/types/ids.js';
 import type {Verdict} from '@snipestage/types/verdict.js';
 import type {Admission} from './admission.js';
@@ -24,7 +24,7 @@
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
   readonly nowMs: () => number;
-  readonly connectPatience: ConnectPatience;
+  readonly connectPatience: ConnectTimeout;
   /** A request of the account began to run at this time of our clock. */
   readonly onBegun: (admission: Admission, atMs: number) => void;
 }
@@ -50,7 +50,7 @@
 export type FailedResult = {
   readonly kind: 'failed';
   readonly verdict: Verdict;
-  readonly sign: EndpointSign | undefined;
+  readonly sign: EndpointOutcome | undefined;
   readonly reason: string;
   /** The endpoint got the request, whatever it made of it. */
   readonly hasArrived: boolean;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -8,7 +8,7 @@
   AgreedClock,
   type StoreClockReading,
 } from '@snipestage/routing/agreed_clock.js';
-import {ConnectPatience} from '@snipestage/routing/connect_patience.js';
+import {ConnectTimeout} from '@snipestage/routing/connect_timeout.js';
 import type {RoutingConfiguration} from '@snipestage/routing/route.js';
 import {Shutdown} from '@snipestage/routing/shutdown.js';
 import type {DataCentreId, FencingToken} from '@snipestage/types/ids.js';
@@ -257,7 +257,7 @@
       logger: logger.forComponent('callers'),
       metrics,
       nowMs,
-      connectPatience: new ConnectPatience(),
+      connectPatience: new ConnectTimeout(),
       onBegun: ({clientAccount}, atMs) => {
         if (clientAccount === undefined) return;
         this.duties.countUsage(clientAccount, atMs);
@@ -269,7 +269,7 @@
   private applyConfiguration(configuration: RoutingConfiguration): void {
     const {limits, routes, version} = configuration;
     this.callers.applyLimits(limits);
-    this.state.durations.keepOnly(new Set(routes.map(({id}) => id)));
+    this.state.durations.retain(new Set(routes.map(({id}) => id)));
     this.options.metrics.setConfigurationVersion(version);
   }
 
--- a/packages/gateway/src/relay/load_exchange.ts
+++ b/packages/gateway/src/relay/load_exchange.ts
@@ -71,7 +71,11 @@
     const {readings, malformed} = readLoadReport(report, atMs);
     if (malformed > 0) this.noteMalformed(malformed, atMs);
     for (const reading of readings) {
-      const drop: LoadDrop | undefined = view.take(reading, origin, atMs);
+      const drop: LoadDrop | undefined = view.addReported(
+        reading,
+        origin,
+        atMs,
+      );
       metrics.countLoads(drop ?? 'taken', 1);
     }
   }
--- a/packages/gateway/src/relay/relays.ts
+++ b/packages/gateway/src/relay/relays.ts
@@ -76,7 +76,7 @@
     this.roster = new RelayRoster(options);
     this.estimate = new InstanceEstimate({
       dataCentres: options.dataCentres,
-      relaysPayFrom: this.roster.paysFrom,
+      minInstancesForRelays: this.roster.minInstancesForRelays,
     });
     this.writes = new WriteBatcher(options.platform);
     this.copies = perTable(() => new TableCopy());
@@ -134,7 +134,8 @@
     // Facts may be known later, and their feed stays fresh for longer. A relay
     // with too few followers is on standby and need not poll more often.
     const {followers} = this.host.stats;
-    const isSlow = name === 'shared' || !this.roster.isWorthwhile(followers);
+    const isSlow =
+      name === 'shared' || !this.roster.hasEnoughFollowers(followers);
     if (isSlow) return undefined;
     const {inForceWithinMs} = this.options;
     return {
@@ -194,7 +195,7 @@
     try {
       const instances = this.options.countInstances();
       const isUnknown = instances === undefined;
-      if (isUnknown || this.roster.pays(instances)) {
+      if (isUnknown || this.roster.areRelaysWorthwhile(instances)) {
         await this.participate(isUnknown);
       } else {
         await this.leave();
--- a/packages/gateway/src/request_handler.ts
+++ b/packages/gateway/src/request_handler.ts
@@ -197,8 +197,8 @@
 
   private mayTake({route}: Admission, endsAtMs: number): boolean {
     const {shutdown, state, nowMs} = this.options;
-    const usualMs = state.durations.usualMs(route.id);
-    return shutdown.mayTake({nowMs: nowMs(), endsAtMs, usualMs});
+    const usualMs = state.durations.p90Ms(route.id);
+    return shutdown.mayAdmit({nowMs: nowMs(), endsAtMs, p90Ms: usualMs});
   }
 
   /** Requests without a body say too little to be known again. */
--- a/packages/gateway/src/routing_state.ts
+++ b/packages/gateway/src/routing_state.ts
@@ -2,7 +2,7 @@
 
 import {SuspectTable} from '@snipestage/policy/suspects.js';
 import {AgreedDemand} from '@snipestage/routing/agreed_demand.js';
-import {CrashWatch} from '@snipestage/routing/crash_watch.js';
+import {CrashDetector} from '@snipestage/routing/crash_detector.js';
 import {DataCentreReach} from '@snipestage/routing/data_centre_reach.js';
 import {
   DemandMeter,
@@ -19,7 +19,7 @@
 import {RefusalDelay} from '@snipestage/routing/refusal_delay.js';
 import type {Route} from '@snipestage/routing/route.js';
 import type {RouteTable} from '@snipestage/routing/route_table.js';
-import {UsualDurations} from '@snipestage/routing/usual_durations.js';
+import {RecentDurations} from '@snipestage/routing/recent_durations.js';
 import {
   WarmupGate,
   type WarmupTolerance,
@@ -75,8 +75,8 @@
   });
   readonly agreedDemand = new AgreedDemand({own: this.demand});
   readonly suspects = new SuspectTable();
-  readonly crashes = new CrashWatch();
-  readonly durations = new UsualDurations();
+  readonly crashes = new CrashDetector();
+  readonly durations = new RecentDurations();
   readonly warmup: WarmupGate;
   private readonly plainPlacement: Placement;
   private readonly promptPlacement: Placement;
--- a/packages/gateway/src/shared_facts.ts
+++ b/packages/gateway/src/shared_facts.ts
@@ -3,7 +3,10 @@
 import type {Logger} from '@snipestage/log/logger.js';
 import type {Platform} from '@snipestage/platform/platform.js';
 import type {ReportedCrash} from '@snipestage/policy/suspects.js';
-import {hasMoved, sumDemands} from '@snipestage/routing/agreed_demand.js';
+import {
+  haveSharesChanged,
+  sumDemands,
+} from '@snipestage/routing/agreed_demand.js';
 import type {RouteDemand} from '@snipestage/routing/demand_meter.js';
 import {brandAs, type ServiceId} from '@snipestage/types/ids.js';
 import {parseJson} from './parse_json.js';
@@ -108,7 +111,8 @@
     return [...services].flatMap(name => {
       const service = brandAs<ServiceId>(name);
       const total = sumDemands(rows.map(({demands}) => demands?.[name] ?? []));
-      if (!hasMoved(this.publishedDemands.get(service), total)) return [];
+      if (!haveSharesChanged(this.publishedDemands.get(service), total))
+        return [];
       this.publishedDemands.set(service, total);
       return [{key: `shared/${DEMAND}${name}`, value: {demands: total}}];
     });
--- a/packages/gateway/src/test_support/test_door.ts
+++ b/packages/gateway/src/test_support/test_door.ts
@@ -11,7 +11,7 @@
   type InstanceId,
   type ServiceId,
 } from '@snipestage/types/ids.js';
-import {ConnectPatience} from '@snipestage/routing/connect_patience.js';
+import {ConnectTimeout} from '@snipestage/routing/connect_timeout.js';
 import type {Route, RouteId} from '@snipestage/routing/route.js';
 import {RouteTable} from '@snipestage/routing/route_table.js';
 import {Shutdown} from '@snipestage/routing/shutdown.js';
@@ -235,7 +235,7 @@
       logger,
       metrics: new GatewayMetrics(),
       nowMs: () => performance.now(),
-      connectPatience: new ConnectPatience({maxMs: 1000}),
+      connectPatience: new ConnectTimeout({maxMs: 1000}),
       onBegun: admission => this.begun.push(admission),
       shutdown: this.shutdown,
     });
--- a/packages/policy/src/retry_budget.test.ts
+++ b/packages/policy/src/retry_budget.test.ts
@@ -7,7 +7,7 @@
 import {
   ClassBudgets,
   DEFAULT_RETRY_BUDGET,
-  mayRetry,
+  decideRetry,
   type FailureCause,
   type RetryInput,
 } from './retry_budget.js';
@@ -63,7 +63,7 @@
 
 for (const [title, changes, expected] of TABLE) {
   test(`retry: ${title}`, t => {
-    t.like(mayRetry(retryInput(changes)), expected);
+    t.like(decideRetry(retryInput(changes)), expected);
   });
 }
 
@@ -76,7 +76,7 @@
   for (let nowMs = 0; nowMs < 100_000; nowMs += 10) {
     budgets.countRequest(counter, nowMs);
     const budget = budgets.of(counter);
-    const decision = mayRetry(retryInput({budget, nowMs, cause: 'errored'}));
+    const decision = decideRetry(retryInput({budget, nowMs, cause: 'errored'}));
     if (decision.kind === 'retry') retries += 1;
   }
   // A tenth of 10,000 requests, 100 s of refill, and the full budget at the
@@ -88,12 +88,12 @@
 
 test('a spent budget states when to retry', t => {
   const budget = new TokenBucket({share: 0, refillPerSecond: 0.5, capacity: 1});
-  t.is(mayRetry(retryInput({budget})).kind, 'retry');
-  t.like(mayRetry(retryInput({budget})), {
+  t.is(decideRetry(retryInput({budget})).kind, 'retry');
+  t.like(decideRetry(retryInput({budget})), {
     reason: 'budget_spent',
     retryAfterMs: 2000,
   });
-  t.is(mayRetry(retryInput({budget, nowMs: 2000})).kind, 'retry');
+  t.is(decideRetry(retryInput({budget, nowMs: 2000})).kind, 'retry');
 });
 
 test('a request that is not idempotent is retried only if it has not run', t => {
@@ -106,7 +106,7 @@
     fc.integer({min: -100, max: 20_000}),
     fc.integer(),
     (verdict, cause, attempts, remainingMs, seed) => {
-      const decision = mayRetry(
+      const decision = decideRetry(
         retryInput({
           verdict,
           cause,
--- a/packages/policy/src/retry_budget.ts
+++ b/packages/policy/src/retry_budget.ts
@@ -69,7 +69,7 @@
       readonly retryAfterMs?: number;
     };
 
-/** Input of {@link mayRetry}. */
+/** Input of {@link decideRetry}. */
 export interface RetryInput extends FailedAttempt {
   readonly budget: TokenBucket;
   readonly nowMs: number;
@@ -108,10 +108,10 @@
  * Decides on another attempt, and charges it to the budget.
  *
  * @example
- * const decision = mayRetry({...failed, budget, nowMs, random});
+ * const decision = decideRetry({...failed, budget, nowMs, random});
  * if (decision.kind === 'retry') await sleep(decision.afterMs);
  */
-export function mayRetry(input: RetryInput): RetryDecision {
+export function decideRetry(input: RetryInput): RetryDecision {
   const {verdict, idempotent, cause, budget, nowMs} = input;
   const limits = {...DEFAULT_RETRY_LIMITS, ...input.limits};
   // A request that may have run, such as a booking, could run twice.
--- a/packages/policy/src/stop_admission.test.ts
+++ b/packages/policy/src/stop_admission.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {
-  judgeStart,
+  decideStart,
   STOP_MARGIN_MS,
   STOP_RETRY_AFTER_MS,
   type AttemptLimit,
@@ -41,13 +41,13 @@
 for (const [title, limit, nowMs, expected] of TABLE) {
   test(`while stopping, ${title}`, t => {
     const question = {limit, nowMs, stopEndsAtMs: STOP_ENDS_AT_MS};
-    t.deepEqual(judgeStart(question), expected);
+    t.deepEqual(decideStart(question), expected);
   });
 }
 
 test('an instance that does not stop starts everything', t => {
   for (const limit of [deadline(-1), deadline(1e9), timeout(1e9)]) {
-    t.is(judgeStart({limit, nowMs: 5}).kind, 'start');
+    t.is(decideStart({limit, nowMs: 5}).kind, 'start');
   }
 });
 
@@ -61,7 +61,7 @@
   fc.assert(
     fc.property(limits, fc.nat(12_000), (limit, nowMs) => {
       const stopEndsAtMs = STOP_ENDS_AT_MS;
-      const decision = judgeStart({limit, nowMs, stopEndsAtMs});
+      const decision = decideStart({limit, nowMs, stopEndsAtMs});
       if (decision.kind === 'refuse') return true;
       const endsAtMs =
         limit.kind === 'deadline'
--- a/packages/policy/src/stop_admission.ts
+++ b/packages/policy/src/stop_admission.ts
@@ -9,7 +9,7 @@
   | {readonly kind: 'deadline'; readonly atMs: number}
   | {readonly kind: 'timeout'; readonly timeoutMs: number};
 
-/** Input of {@link judgeStart}; times are of one monotonic clock. */
+/** Input of {@link decideStart}; times are of one monotonic clock. */
 export interface StartInput {
   readonly limit: AttemptLimit;
   readonly nowMs: number;
@@ -43,9 +43,9 @@
  * it again; one that is refused now can run elsewhere a second later.
  *
  * @example
- * judgeStart({limit: {kind: 'timeout', timeoutMs: 5000}, nowMs, stopEndsAtMs});
+ * decideStart({limit: {kind: 'timeout', timeoutMs: 5000}, nowMs, stopEndsAtMs});
  */
-export function judgeStart(input: StartInput): StartDecision {
+export function decideStart(input: StartInput): StartDecision {
   const latestStartMs = latestStartOf(input);
   return input.nowMs <= latestStartMs
     ? {kind: 'start', latestStartMs}
--- a/packages/policy/src/suspects.test.ts
+++ b/packages/policy/src/suspects.test.ts
@@ -28,7 +28,7 @@
 }
 
 function judgements(table: SuspectTable, nowMs: number, ...names: string[]) {
-  return names.map(name => table.judge(print(name), nowMs).kind);
+  return names.map(name => table.classify(print(name), nowMs).kind);
 }
 
 // A request crashes its engine, where other requests run too. Its caller sends
@@ -41,14 +41,14 @@
     'run_alone',
     'clear',
   ]);
-  table.finish(print('a'));
+  table.markFinished(print('a'));
   table.merge([crashOf('e2', 'poison')], 8000);
   t.deepEqual(judgements(table, 8000, 'poison', 'a', 'b'), [
     'refuse',
     'clear',
     'run_alone',
   ]);
-  t.like(table.judge(print('poison'), MINUTE_MS + 8000), {
+  t.like(table.classify(print('poison'), MINUTE_MS + 8000), {
     retryAfterMs: 9 * MINUTE_MS,
   });
 });
@@ -68,7 +68,7 @@
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'p', 'a'), crashOf('e2', 'p', 'a')], 0);
   t.deepEqual(judgements(table, 0, 'p', 'a'), ['run_alone', 'run_alone']);
-  table.finish(print('a'));
+  table.markFinished(print('a'));
   t.deepEqual(judgements(table, 0, 'p', 'a'), ['refuse', 'clear']);
 });
 
@@ -127,7 +127,7 @@
   other.merge(table.takeChanges(1500), 500_000);
   t.deepEqual(judgements(other, 500_000, 'p'), ['run_alone']);
   t.deepEqual(table.takeChanges(1600), []);
-  table.finish(print('a'));
+  table.markFinished(print('a'));
   other.merge(table.takeChanges(1700), 500_300);
   t.deepEqual(judgements(other, 500_300, 'a'), ['clear']);
   t.is(other.readAll(500_300)[0].ageMs, 800);
@@ -196,8 +196,8 @@
       atMs,
     );
   crash(1, 0, false);
-  t.is(table.judge(brandAs('poison'), 100).kind, 'run_alone');
+  t.is(table.classify(brandAs('poison'), 100).kind, 'run_alone');
   crash(2, 1000, true);
-  t.is(table.judge(brandAs('poison'), 1100).kind, 'refuse');
-  t.is(table.judge(brandAs('innocent'), 1100).kind, 'run_alone');
+  t.is(table.classify(brandAs('poison'), 1100).kind, 'refuse');
+  t.is(table.classify(brandAs('innocent'), 1100).kind, 'run_alone');
 });
--- a/packages/policy/src/suspects.ts
+++ b/packages/policy/src/suspects.ts
@@ -32,7 +32,7 @@
 }
 
 /** How to treat a request. */
-export type SuspectJudgement =
+export type SuspectDecision =
   | {readonly kind: 'clear'}
   /** Needs an endpoint to itself, and is never hedged. */
   | {readonly kind: 'run_alone'}
@@ -113,7 +113,7 @@
   }
 
   /** The request has run to its end, so its crashes had another cause. */
-  finish(fingerprint: Fingerprint): void {
+  markFinished(fingerprint: Fingerprint): void {
     for (const crash of this.byFingerprint.get(fingerprint) ?? []) {
       if (crash.cleared.has(fingerprint)) continue;
       crash.cleared.add(fingerprint);
@@ -125,10 +125,10 @@
    * Decides how to treat a request that arrives.
    *
    * @example
-   * const judgement = table.judge(fingerprint, nowMs);
-   * if (judgement.kind === 'refuse') refuse('suspected_crash', judgement);
+   * const decision = table.classify(fingerprint, nowMs);
+   * if (decision.kind === 'refuse') refuse('suspected_crash', decision);
    */
-  judge(fingerprint: Fingerprint, nowMs: number): SuspectJudgement {
+  classify(fingerprint: Fingerprint, nowMs: number): SuspectDecision {
     if (!this.byFingerprint.has(fingerprint)) return {kind: 'clear'};
     this.evictOld(nowMs);
     const crashes = this.suspectedCrashesOf(fingerprint);
--- a/packages/routing/src/agreed_demand.test.ts
+++ b/packages/routing/src/agreed_demand.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {brandAs} from '@snipestage/types/ids.js';
-import {AgreedDemand, hasMoved, sumDemands} from './agreed_demand.js';
+import {AgreedDemand, haveSharesChanged, sumDemands} from './agreed_demand.js';
 import {DemandMeter, type RouteDemand} from './demand_meter.js';
 import type {RouteId} from './route.js';
 import {makePrompt, makeRoute, REPAIR} from './test_support/fixtures.js';
@@ -39,8 +39,8 @@
   // Publishing costs a call on every instance. Twice the traffic of the same
   // mix splits the engines as before.
   const before = [demand('a', 10), demand('b', 10)];
-  t.false(hasMoved(before, [demand('a', 20), demand('b', 20)]));
-  t.true(hasMoved(before, [demand('a', 20), demand('b', 10)]));
-  t.true(hasMoved(undefined, before));
-  t.true(hasMoved(before, [demand('a', 10), demand('c', 10)]));
+  t.false(haveSharesChanged(before, [demand('a', 20), demand('b', 20)]));
+  t.true(haveSharesChanged(before, [demand('a', 20), demand('b', 10)]));
+  t.true(haveSharesChanged(undefined, before));
+  t.true(haveSharesChanged(before, [demand('a', 10), demand('c', 10)]));
 });
--- a/packages/routing/src/agreed_demand.ts
+++ b/packages/routing/src/agreed_demand.ts
@@ -94,9 +94,9 @@
  * Whether shares of work have changed enough to be published.
  *
  * @example
- * if (hasMoved(published, now)) publish(now);
+ * if (haveSharesChanged(published, now)) publish(now);
  */
-export function hasMoved(
+export function haveSharesChanged(
   before: readonly RouteDemand[] | undefined,
   now: readonly RouteDemand[],
 ): boolean {
--- a/packages/routing/src/capacity_plan.test.ts
+++ b/packages/routing/src/capacity_plan.test.ts
@@ -112,7 +112,7 @@
     [B, 0],
     [C, 0],
   ]);
-  const scarce = plan({cheapLeft, neededNow: 16});
+  const scarce = plan({cheapLeft, currentlyNeeded: 16});
   // As many cheap ones as the third data centre may have, then regular ones
   // where they cost least; the cheap ones are still ordered.
   t.deepEqual(countsOf(scarce, true), [11, 7, 7]);
@@ -125,10 +125,10 @@
   // ordered.
   const scaling = {...LIMITS, maxCount: 8};
   const cheapLeft = new Map([[C, 0]]);
-  const targets = plan({scaling, needed: 13, neededNow: 21, cheapLeft});
+  const targets = plan({scaling, needed: 13, currentlyNeeded: 21, cheapLeft});
   t.deepEqual(countsOf(targets, true), [7, 7, 3]);
   t.deepEqual(countsOf(targets, false), [1, 1, 5]);
-  const all = plan({scaling, needed: 13, neededNow: 50, cheapLeft});
+  const all = plan({scaling, needed: 13, currentlyNeeded: 50, cheapLeft});
   t.deepEqual(countsOf(all, true), [7, 7, 1]);
   t.deepEqual(countsOf(all, false), [1, 1, 7]);
 });
@@ -136,13 +136,16 @@
 test('a reclaim that leaves enough endpoints causes no order', t => {
   // Regular endpoints cost several times as much. Ordered for headroom that a
   // day of usual load doesn't use, they would double its price for nothing.
-  t.deepEqual(plan({cheapLeft: new Map([[B, 0]]), neededNow: 10}), plan());
+  t.deepEqual(
+    plan({cheapLeft: new Map([[B, 0]]), currentlyNeeded: 10}),
+    plan(),
+  );
   const lowDemand = plan({
     cheapLeft: new Map([
       [B, 0],
       [C, 0],
     ]),
-    neededNow: 6,
+    currentlyNeeded: 6,
   });
   t.deepEqual(countsOf(lowDemand, false), [1, 1, 1]);
 });
@@ -151,10 +154,10 @@
   // Guards against late orders: three times the usual load comes for some
   // seconds, and endpoints ordered when the first requests wait take seconds to
   // boot and serve only half of it.
-  const targets = plan({neededNow: 30});
+  const targets = plan({currentlyNeeded: 30});
   t.deepEqual(countsOf(targets, true), [9, 9, 9]);
   t.deepEqual(countsOf(targets, false), [1, 1, 1]);
-  const most = plan({neededNow: 100});
+  const most = plan({currentlyNeeded: 100});
   t.deepEqual(countsOf(most, true), [11, 11, 11]);
 });
 
@@ -164,11 +167,11 @@
       fc.integer({min: 0, max: 60}),
       fc.integer({min: 0, max: 120}),
       fc.array(fc.integer({min: 0, max: 11}), {maxLength: 3}),
-      (needed, neededNow, left) => {
+      (needed, currentlyNeeded, left) => {
         const cheapLeft = new Map(
           left.map((count, index) => [[A, B, C][index], count]),
         );
-        const targets = plan({needed, neededNow, cheapLeft});
+        const targets = plan({needed, currentlyNeeded, cheapLeft});
         return [A, B, C].every(dataCentre => {
           const own = targets.filter(each => each.dataCentre === dataCentre);
           const total = own.reduce((sum, {count}) => sum + count, 0);
@@ -215,7 +218,7 @@
   // Guards against a reclaim during an evacuation without replacements.
   const targets = plan({
     needed: 10,
-    neededNow: 12,
+    currentlyNeeded: 12,
     evacuated: new Set([A]),
     cheapLeft: new Map([[B, 0]]),
   });
@@ -228,7 +231,7 @@
 test('load pattern: cheap endpoints become available again where regular ones replace them', t => {
   // Guards against a data centre that releases all its serving endpoints at
   // once.
-  const full = {needed: 18, neededNow: 5};
+  const full = {needed: 18, currentlyNeeded: 5};
   const at = (regular: number, cheap: number) =>
     plan({...full, present: new Map([[A, {regular, cheap}]])})
       .filter(({dataCentre}) => dataCentre === A)
--- a/packages/routing/src/capacity_plan.ts
+++ b/packages/routing/src/capacity_plan.ts
@@ -21,7 +21,7 @@
   /** Endpoints that the usual demand needs. */
   readonly needed: number;
   /** Endpoints that the current demand needs (0). */
-  readonly neededNow?: number;
+  readonly currentlyNeeded?: number;
   /**
    * Number of cheap endpoints still running, for data centres in which no more
    * of them are available at the moment.
@@ -76,12 +76,12 @@
  */
 export function planCapacity(input: CapacityInput): readonly CapacityTarget[] {
   const {service, scaling} = input;
-  const neededNow = input.neededNow ?? 0;
+  const currentlyNeeded = input.currentlyNeeded ?? 0;
   const shares = planUsual(input);
-  const wanted = Math.max(countWanted(input), neededNow);
+  const wanted = Math.max(countWanted(input), currentlyNeeded);
   addCheap(shares, wanted - countExpected(shares), scaling);
-  addRegular(shares, neededNow - countExpected(shares), scaling);
-  if (neededNow > 0) {
+  addRegular(shares, currentlyNeeded - countExpected(shares), scaling);
+  if (currentlyNeeded > 0) {
     for (const share of shares) keepUntilReplaced(share, input);
   }
   return shares.flatMap(({dataCentre, regular, cheap}) => [
--- a/packages/routing/src/connect_patience.test.ts
+++ b/packages/routing/src/connect_timeout.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
-import {ConnectPatience} from './connect_patience.js';
+import {ConnectTimeout} from './connect_timeout.js';
 
 function timeoutAfter(...tookMs: number[]): number {
-  const patience = new ConnectPatience();
-  for (const each of tookMs) patience.note(each);
-  return patience.timeoutMs;
+  const timeout = new ConnectTimeout();
+  for (const each of tookMs) timeout.note(each);
+  return timeout.timeoutMs;
 }
 
 test('before the first connection the timeout is the maximum', t => {
--- a/packages/routing/src/connect_patience.ts
+++ b/packages/routing/src/connect_timeout.ts
@@ -1,7 +1,7 @@
 /** Connect timeout after which another endpoint is tried. */
 
-/** Options of {@link ConnectPatience}; defaults in brackets. */
-export interface ConnectPatienceOptions {
+/** Options of {@link ConnectTimeout}; defaults in brackets. */
+export interface ConnectTimeoutOptions {
   /** (100 ms): well above the timer delays of a busy instance. */
   readonly minMs?: number;
   /** (350 ms): also used before the first connection. */
@@ -22,13 +22,13 @@
  * a request that has to begin within 300 ms can still do so at another
  * endpoint. A slow machine sees slow handshakes and gets a longer timeout.
  */
-export class ConnectPatience {
+export class ConnectTimeout {
   private meanMs: number | undefined;
   private deviationMs = 0;
   private readonly minMs: number;
   private readonly maxMs: number;
 
-  constructor(options: ConnectPatienceOptions = {}) {
+  constructor(options: ConnectTimeoutOptions = {}) {
     this.minMs = options.minMs ?? DEFAULT_MIN_MS;
     this.maxMs = options.maxMs ?? DEFAULT_MAX_MS;
   }
@@ -47,7 +47,7 @@
 
   /**
    * @example
-   * const timer = setTimeout(giveUp, patience.timeoutMs);
+   * const timer = setTimeout(giveUp, timeout.timeoutMs);
    */
   get timeoutMs(): number {
     if (this.meanMs === undefined) return this.maxMs;
--- a/packages/routing/src/crash_watch.ts
+++ b/packages/routing/src/crash_detector.ts
@@ -2,8 +2,8 @@
 
 import type {EndpointId, Fingerprint} from '@snipestage/types/ids.js';
 
-/** Options of {@link CrashWatch}; default in brackets. */
-export interface CrashWatchOptions {
+/** Options of {@link CrashDetector}; default in brackets. */
+export interface CrashDetectorOptions {
   /**
    * An endpoint that breaks off answers and can't be reached within this time
    * has crashed (3,000 ms): endpoints are back after some seconds.
@@ -26,11 +26,11 @@
  * same request twice would be refused. Only an endpoint that then refuses
  * connections, or starts a new incarnation, has crashed.
  */
-export class CrashWatch {
+export class CrashDetector {
   private readonly broken = new Map<EndpointId, BrokenRequest[]>();
   private readonly confirmWithinMs: number;
 
-  constructor(options: CrashWatchOptions = {}) {
+  constructor(options: CrashDetectorOptions = {}) {
     this.confirmWithinMs = options.confirmWithinMs ?? DEFAULT_CONFIRM_WITHIN_MS;
   }
 
@@ -42,7 +42,7 @@
   }
 
   /** The endpoint answered: earlier broken answers were no crash. */
-  noteSound(id: EndpointId): void {
+  noteAnswered(id: EndpointId): void {
     this.broken.delete(id);
   }
 
@@ -53,7 +53,7 @@
    * @example
    * const suspects = watch.confirm(endpoint.id, nowMs);
    */
-  confirm(id: EndpointId, nowMs: number): readonly Fingerprint[] {
+  confirmCrash(id: EndpointId, nowMs: number): readonly Fingerprint[] {
     const requests = this.recent(id, nowMs);
     this.broken.delete(id);
     return [...new Set(requests.map(({fingerprint}) => fingerprint))];
--- a/packages/routing/src/duties.test.ts
+++ b/packages/routing/src/duties.test.ts
@@ -6,9 +6,9 @@
   type Fingerprint,
 } from '@snipestage/types/ids.js';
 import {AgreedClock} from './agreed_clock.js';
-import {CrashWatch} from './crash_watch.js';
+import {CrashDetector} from './crash_detector.js';
 import {RefusalDelay} from './refusal_delay.js';
-import {SuspensionWatch} from './suspension_watch.js';
+import {SuspensionDetector} from './suspension_detector.js';
 import {sumCounts, UsageWindows, windowAt} from './usage_windows.js';
 
 test('instances whose times of day differ share one time', t => {
@@ -35,7 +35,7 @@
 });
 
 test('a jump of the time of day shows a suspension', t => {
-  const watch = new SuspensionWatch(0, 1000);
+  const watch = new SuspensionDetector(0, 1000);
   t.false(watch.hasJumped(5000, 6010));
   t.true(watch.hasJumped(5001, 9000));
   t.false(watch.hasJumped(5002, 9001));
@@ -44,16 +44,16 @@
 test('a broken answer alone is no crash', t => {
   // Guards against refusing callers that repeat a request because a network
   // loses answers of a healthy endpoint.
-  const watch = new CrashWatch({confirmWithinMs: 1000});
+  const watch = new CrashDetector({confirmWithinMs: 1000});
   const one = brandAs<EndpointId>('one');
   const request = brandAs<Fingerprint>('f');
   watch.noteBroken(one, request, 0);
-  watch.noteSound(one);
-  t.deepEqual(watch.confirm(one, 100), []);
+  watch.noteAnswered(one);
+  t.deepEqual(watch.confirmCrash(one, 100), []);
   watch.noteBroken(one, request, 200);
-  t.deepEqual(watch.confirm(one, 300), [request]);
+  t.deepEqual(watch.confirmCrash(one, 300), [request]);
   watch.noteBroken(one, request, 400);
-  t.deepEqual(watch.confirm(one, 1500), []);
+  t.deepEqual(watch.confirmCrash(one, 1500), []);
 });
 
 test('counts of windows add up over instances', t => {
--- a/packages/routing/src/endpoint_monitor.ts
+++ b/packages/routing/src/endpoint_monitor.ts
@@ -14,7 +14,7 @@
 }
 
 /** How an attempt ended, as far as it shows the endpoint's health. */
-export type EndpointSign =
+export type EndpointOutcome =
   /** Answered as a healthy endpoint would, whatever the status. */
   | 'answered'
   /** A failure of the endpoint: an error status, a broken or invalid answer. */
@@ -110,7 +110,7 @@
    * @example
    * monitor.note(endpoint.id, 'failed', nowMs);
    */
-  note(id: EndpointId, sign: EndpointSign, nowMs: number): void {
+  note(id: EndpointId, sign: EndpointOutcome, nowMs: number): void {
     const tracked = this.of(id);
     const share = this.failureShare(id, nowMs);
     const isFailure = sign === 'failed' || sign === 'silent';
--- a/packages/routing/src/instance_estimate.test.ts
+++ b/packages/routing/src/instance_estimate.test.ts
@@ -1,7 +1,10 @@
 import test from 'ava';
 import {InstanceEstimate} from './instance_estimate.js';
 
-const estimate = new InstanceEstimate({dataCentres: 5, relaysPayFrom: 30});
+const estimate = new InstanceEstimate({
+  dataCentres: 5,
+  minInstancesForRelays: 30,
+});
 
 test('a large deployment estimates its size within seconds of the start', t => {
   // Guards against every instance polling the store until the first count.
--- a/packages/routing/src/instance_estimate.ts
+++ b/packages/routing/src/instance_estimate.ts
@@ -4,7 +4,7 @@
 export interface InstanceEstimateOptions {
   readonly dataCentres: number;
   /** Number of instances from which relays save calls. */
-  readonly relaysPayFrom: number;
+  readonly minInstancesForRelays: number;
   /** How long a relay with many followers waits for more (2,500 ms). */
   readonly manyAfterMs?: number;
   /** How long a relay with few followers waits for more (6,000 ms). */
@@ -34,10 +34,11 @@
    * const instances = estimate.read({followers: 38, servingForMs: 3000});
    */
   read({followers, servingForMs}: FollowerStats): number | undefined {
-    const {dataCentres, relaysPayFrom, manyAfterMs, fewAfterMs} = this.options;
+    const {dataCentres, minInstancesForRelays, manyAfterMs, fewAfterMs} =
+      this.options;
     const instances = (followers + 1) * dataCentres;
     const waitMs =
-      instances >= relaysPayFrom
+      instances >= minInstancesForRelays
         ? (manyAfterMs ?? DEFAULT_MANY_AFTER_MS)
         : (fewAfterMs ?? DEFAULT_FEW_AFTER_MS);
     return servingForMs >= waitMs ? instances : undefined;
--- a/packages/routing/src/lease_candidates.test.ts
+++ b/packages/routing/src/lease_candidates.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import {brandAs, type InstanceId} from '@snipestage/types/ids.js';
-import {standsForLease} from './lease_candidates.js';
+import {competesForLease} from './lease_candidates.js';
 
 function countCandidates(
   count: number,
@@ -10,7 +10,7 @@
   return Array.from({length: count}, (_, index) =>
     brandAs<InstanceId>(`akl-a-${index}`),
   ).filter(instance =>
-    standsForLease({instance, lease: 'duties', instances, upForMs}),
+    competesForLease({instance, lease: 'duties', instances, upForMs}),
   ).length;
 }
 
--- a/packages/routing/src/lease_candidates.ts
+++ b/packages/routing/src/lease_candidates.ts
@@ -28,9 +28,9 @@
  * taken.
  *
  * @example
- * const isCandidate = standsForLease({instance, lease, instances, upForMs});
+ * const isCandidate = competesForLease({instance, lease, instances, upForMs});
  */
-export function standsForLease(candidate: LeaseCandidate): boolean {
+export function competesForLease(candidate: LeaseCandidate): boolean {
   const {instance, lease, instances, upForMs} = candidate;
   const place = hashText(`${lease}/${instance}`) / HASH_RANGE;
   return instances === undefined
--- a/packages/routing/src/load_view.test.ts
+++ b/packages/routing/src/load_view.test.ts
@@ -24,7 +24,7 @@
 test('an instance knows the load of an engine to which it sent nothing', t => {
   // Guards against urgent requests at full engines beside idle ones.
   const {monitor, view} = makeView();
-  t.is(view.take(reading(20, 1000), 'remote', 1000), undefined);
+  t.is(view.addReported(reading(20, 1000), 'remote', 1000), undefined);
   t.is(monitor.estimateLoad(ENGINE, 1000), 20);
   t.is(monitor.loadAgeMs(ENGINE, 1400), 400);
   t.true(monitor.hasRecentReports(1400));
@@ -33,19 +33,19 @@
 test('the newest reading is kept, whichever instance it comes from', t => {
   // Guards against reports that overtake each other on their way.
   const {monitor, view} = makeView();
-  view.take(reading(3, 900), 'local', 1000);
-  t.is(view.take(reading(20, 800), 'remote', 1000), 'older');
+  view.addReported(reading(3, 900), 'local', 1000);
+  t.is(view.addReported(reading(20, 800), 'remote', 1000), 'older');
   view.noteOwn(reading(5, 950));
-  t.is(view.take(reading(7, 940), 'remote', 1000), 'older');
+  t.is(view.addReported(reading(7, 940), 'remote', 1000), 'older');
   t.is(monitor.estimateLoad(ENGINE, 950), 5);
 });
 
 test('readings that are old, from the future or of unknown engines are dropped', t => {
   // Guards against invalid readings of other processes.
   const {monitor, view} = makeView();
-  t.is(view.take(reading(20, 2000), 'remote', 6000), 'too_old');
-  t.is(view.take(reading(20, 7000), 'remote', 6000), 'from_the_future');
-  t.is(view.take(reading(20, 6000, GONE), 'remote', 6000), 'not_shared');
+  t.is(view.addReported(reading(20, 2000), 'remote', 6000), 'too_old');
+  t.is(view.addReported(reading(20, 7000), 'remote', 6000), 'from_the_future');
+  t.is(view.addReported(reading(20, 6000, GONE), 'remote', 6000), 'not_shared');
   t.is(monitor.estimateLoad(ENGINE, 6000), 0);
   t.is(monitor.estimateLoad(GONE, 6000), 0);
 });
@@ -53,7 +53,7 @@
 test('without reports an instance relies on its own answers again', t => {
   // Guards against choosing by the stale report of a relay that is gone.
   const {monitor, view} = makeView();
-  view.take(reading(20, 0), 'remote', 0);
+  view.addReported(reading(20, 0), 'remote', 0);
   t.false(monitor.hasRecentReports(3001));
   t.true(monitor.estimateLoad(ENGINE, 9000) < 0.5);
 });
@@ -61,7 +61,7 @@
 test('a load shared by others decays more slowly than an own one', t => {
   // Guards against full engines that look half empty a second later.
   const {monitor, view} = makeView();
-  view.take(reading(20, 0), 'remote', 0);
+  view.addReported(reading(20, 0), 'remote', 0);
   t.true(monitor.estimateLoad(ENGINE, 1500) > 15);
   const own = makeView();
   own.view.noteOwn(reading(20, 0));
@@ -73,14 +73,14 @@
   // counted.
   const {monitor, view} = makeView();
   monitor.begin(ENGINE, 1, 500);
-  view.take(reading(4, 400), 'remote', 600);
+  view.addReported(reading(4, 400), 'remote', 600);
   t.true(monitor.estimateLoad(ENGINE, 400) > 4.9);
 });
 
 test('each reading is passed on once, to those that do not have it', t => {
   // Guards against relays of two data centres that echo each other's readings.
   const {view, known} = makeView();
-  view.take(reading(4, 900), 'remote', 1000);
+  view.addReported(reading(4, 900), 'remote', 1000);
   t.is(view.changesSince(0, ['own', 'local'], 1000).readings.length, 0);
   const {readings, mark} = view.changesSince(
     0,
--- a/packages/routing/src/load_view.ts
+++ b/packages/routing/src/load_view.ts
@@ -81,7 +81,7 @@
    * @example
    * const drop = view.take(reading, 'local', nowMs);
    */
-  take(
+  addReported(
     reading: LoadReading,
     origin: LoadOrigin,
     nowMs: number,
--- a/packages/routing/src/usual_durations.ts
+++ b/packages/routing/src/recent_durations.ts
@@ -12,7 +12,7 @@
  * Keeps the latest durations. Streams count until their last event, requests
  * that were given up until that moment.
  */
-export class UsualDurations {
+export class RecentDurations {
   private readonly byRoute = new Map<RouteId, number[]>();
 
   note(route: RouteId, durationMs: number): void {
@@ -27,9 +27,9 @@
    * known.
    *
    * @example
-   * const usualMs = durations.usualMs(route.id);
+   * const p90Ms = durations.p90Ms(route.id);
    */
-  usualMs(route: RouteId): number | undefined {
+  p90Ms(route: RouteId): number | undefined {
     const kept = this.byRoute.get(route) ?? [];
     if (kept.length < MIN_DURATION_COUNT) return undefined;
     const sorted = kept.toSorted((a, b) => a - b);
@@ -37,7 +37,7 @@
   }
 
   /** Forgets routes that are gone. */
-  keepOnly(routes: ReadonlySet<RouteId>): void {
+  retain(routes: ReadonlySet<RouteId>): void {
     for (const route of this.byRoute.keys()) {
       if (!routes.has(route)) this.byRoute.delete(route);
     }
--- a/packages/routing/src/relay_roster.test.ts
+++ b/packages/routing/src/relay_roster.test.ts
@@ -29,9 +29,9 @@
 
 test('a small number of instances uses no relays', t => {
   const roster = makeRoster('one');
-  t.false(roster.pays(undefined));
-  t.false(roster.pays(9));
-  t.true(roster.pays(18));
+  t.false(roster.areRelaysWorthwhile(undefined));
+  t.false(roster.areRelaysWorthwhile(9));
+  t.true(roster.areRelaysWorthwhile(18));
 });
 
 test('few candidates claim a vacant slot at the same time', t => {
--- a/packages/routing/src/relay_roster.ts
+++ b/packages/routing/src/relay_roster.ts
@@ -75,17 +75,17 @@
    *
    * @param instances undefined until they have been counted.
    */
-  pays(instances: number | undefined): boolean {
-    return instances !== undefined && instances >= this.paysFrom;
+  areRelaysWorthwhile(instances: number | undefined): boolean {
+    return instances !== undefined && instances >= this.minInstancesForRelays;
   }
 
   /** The number of instances from which relays save calls. */
-  get paysFrom(): number {
+  get minInstancesForRelays(): number {
     return this.slots.size * this.minFollowers * this.options.dataCentres;
   }
 
   /** Whether a relay with so many followers saves more polls than it makes. */
-  isWorthwhile(followers: number): boolean {
+  hasEnoughFollowers(followers: number): boolean {
     return followers >= this.minFollowers;
   }
 
--- a/packages/routing/src/shutdown.test.ts
+++ b/packages/routing/src/shutdown.test.ts
@@ -44,7 +44,7 @@
     const shutdown = new Shutdown(SHUTDOWN);
     if (atMs >= SIGNAL_MS) shutdown.begin(SIGNAL_MS);
     const endsAtMs = atMs + patienceMs;
-    const admitted = shutdown.mayTake({nowMs: atMs, endsAtMs, usualMs: 2000});
+    const admitted = shutdown.mayAdmit({nowMs: atMs, endsAtMs, p90Ms: 2000});
     t.is(admitted, isAdmitted);
   });
 }
@@ -63,8 +63,8 @@
   const shutdown = new Shutdown({graceMs: 2000});
   shutdown.begin(0);
   const long = {nowMs: 500, endsAtMs: 10_500};
-  t.false(shutdown.mayTake({...long, usualMs: 1500}));
-  t.true(shutdown.mayTake({...long, usualMs: 300}));
-  t.true(shutdown.mayTake({...long, usualMs: undefined}));
-  t.true(shutdown.mayTake({nowMs: 500, endsAtMs: 1300, usualMs: 1500}));
+  t.false(shutdown.mayAdmit({...long, p90Ms: 1500}));
+  t.true(shutdown.mayAdmit({...long, p90Ms: 300}));
+  t.true(shutdown.mayAdmit({...long, p90Ms: undefined}));
+  t.true(shutdown.mayAdmit({nowMs: 500, endsAtMs: 1300, p90Ms: 1500}));
 });
--- a/packages/routing/src/shutdown.ts
+++ b/packages/routing/src/shutdown.ts
@@ -17,7 +17,7 @@
   /** When the caller's or the operator's limit ends. */
   readonly endsAtMs: number;
   /** 90th percentile of its route's durations; undefined if not known. */
-  readonly usualMs: number | undefined;
+  readonly p90Ms: number | undefined;
 }
 
 /** Measures time from the signal to stop; before it everything is admitted. */
@@ -69,12 +69,12 @@
    * time are admitted too.
    *
    * @example
-   * if (!shutdown.mayTake({nowMs, endsAtMs, usualMs})) refuse();
+   * if (!shutdown.mayAdmit({nowMs, endsAtMs, p90Ms})) refuse();
    */
-  mayTake({nowMs, endsAtMs, usualMs = 0}: Arrival): boolean {
+  mayAdmit({nowMs, endsAtMs, p90Ms = 0}: Arrival): boolean {
     const graceEndsAtMs = nowMs + this.leftMs(nowMs);
     if (endsAtMs <= graceEndsAtMs) return true;
     if (this.hasBalancerNoticed(nowMs)) return false;
-    return nowMs + usualMs < graceEndsAtMs;
+    return nowMs + p90Ms < graceEndsAtMs;
   }
 }
--- a/packages/routing/src/suspension_watch.ts
+++ b/packages/routing/src/suspension_detector.ts
@@ -7,7 +7,7 @@
  * suspension. A correction of the time of day looks the same; then a lease is
  * dropped needlessly, which costs one take-over.
  */
-export class SuspensionWatch {
+export class SuspensionDetector {
   private differenceMs: number;
 
   constructor(
