--- a/packages/gateway/src/admission.ts
+++ b/packages/gateway/src/admission.ts
@@ -1,20 +1,22 @@
-/** Who sent a request, where it goes, and whether it may. */
+/**
+ * Identifies the sender and the target of a request, and admits or refuses it.
+ */
 
 import type {RouteTable} from '@snipestage/routing/route_table.js';
 import type {Route} from '@snipestage/routing/route.js';
 import type {ClientAccountId, ServiceId} from '@snipestage/types/ids.js';
 import type {CallerRequest} from './pass_through_protocol.js';
 
-/** A request that may go on. */
+/** Route, target service and client account of an admitted request. */
 export interface Admission {
   readonly route: Route;
   readonly service: ServiceId;
   readonly clientAccount: ClientAccountId | undefined;
-  /** By account and route; 0 goes first. */
+  /** Rank by account and route; 0 is served first. */
   readonly urgencyRank: number;
 }
 
-/** Or why it may not. */
+/** The admission, or status and reason of a refusal. */
 export type AdmissionResult =
   | {readonly kind: 'admitted'; readonly admission: Admission}
   | {
@@ -23,7 +25,7 @@
       readonly reason: string;
     };
 
-/** What is asked about. */
+/** Input of {@link admit}. */
 export interface AdmissionInput {
   readonly table: RouteTable | undefined;
   readonly host: string;
@@ -34,8 +36,8 @@
 }
 
 /**
- * Each request is identified anew, by the configuration of this moment: a key
- * that was withdrawn stops working on open connections too.
+ * Identifies a request against the current configuration. Every request is
+ * checked, so that a withdrawn key stops working on open connections too.
  *
  * @example
  * const result = admit({table, host, path, request, random: Math.random()});
@@ -61,7 +63,7 @@
 }
 
 /**
- * A target by weight.
+ * Picks one of a route's targets at random, by weight.
  *
  * @param random at least 0 and below 1.
  * @example
--- a/packages/gateway/src/answer_writer.ts
+++ b/packages/gateway/src/answer_writer.ts
@@ -3,19 +3,19 @@
 import type {ServerResponse} from 'node:http';
 import type {FlatHeaders} from './pass_through_protocol.js';
 
-/** An answer of an endpoint that is whole. */
+/** A complete answer of an endpoint. */
 export interface WholeAnswer {
   readonly status: number;
   readonly headers: FlatHeaders;
   readonly body: Buffer;
 }
 
-/** Owns the caller's response. */
+/** Owns the caller's response and counts the events written to it. */
 export class AnswerWriter {
   private callerLeft = false;
   private ended = false;
   events = 0;
-  /** When the first event went out, and the longest pause since. */
+  /** When the first event was written, and the longest pause between events. */
   firstEventAtMs: number | undefined;
   longestPauseMs = 0;
   private lastEventAtMs = 0;
@@ -27,13 +27,13 @@
     private readonly mustClose: () => boolean,
     private readonly onCallerLeft: () => void,
   ) {
-    response.on('close', () => this.noteGone());
-    // A caller that resets its connection is seen by 'close' as well.
+    response.on('close', () => this.noteDisconnected());
+    // A reset by the caller also emits 'close'.
     response.on('error', () => response.destroy());
   }
 
-  /** The connection is gone; whatever is not ended has nobody to go to. */
-  noteGone(): void {
+  /** Handles the end of the connection: an unfinished answer is abandoned. */
+  noteDisconnected(): void {
     if (this.isOver) return;
     this.callerLeft = true;
     this.onCallerLeft();
@@ -43,7 +43,7 @@
     return this.response.headersSent;
   }
 
-  /** Whether nothing more can be told: ended, or the caller is gone. */
+  /** Whether nothing more can be sent: answered, aborted or caller gone. */
   get isOver(): boolean {
     return this.ended || this.callerLeft;
   }
@@ -65,7 +65,7 @@
     this.writeHead(status, headers);
   }
 
-  /** An event goes out next. */
+  /** Counts an event that is about to be written. */
   noteEvent(id: string | undefined, nowMs: number): void {
     this.events += 1;
     if (id !== undefined) this.lastEventId = id;
@@ -78,7 +78,7 @@
     this.lastEventAtMs = nowMs;
   }
 
-  /** @returns false when the caller reads slowly; see {@link whenDrained}. */
+  /** @returns false when the write buffer is full; see {@link whenDrained}. */
   write(bytes: Buffer): boolean {
     if (this.isOver) return true;
     return this.response.write(bytes);
@@ -93,18 +93,24 @@
     this.end();
   }
 
-  /** An answer that can't be completed must not look complete. */
-  breakOff(): void {
+  /**
+   * Destroys the connection, so that an incomplete answer doesn't look
+   * complete.
+   */
+  abort(): void {
     if (this.isOver) return;
     this.ended = true;
     this.response.destroy();
   }
 
-  /** The system's own failure; tells when to come back if that helps. */
+  /**
+   * Answers with a failure of this system's own, without a body. An answer that
+   * has begun is aborted instead.
+   */
   fail(status: number, headers: Readonly<Record<string, string>>): void {
     if (this.isOver) return;
     if (this.hasBegun) {
-      this.breakOff();
+      this.abort();
       return;
     }
     const flat = Object.entries(headers).flat();
@@ -126,9 +132,9 @@
   }
 
   /**
-   * The head of a stream may have gone out before the instance was told to
-   * stop: then its caller has not been told that the connection closes, and
-   * would send its next request here.
+   * Closes the connection after the answer. The head of a stream may have been
+   * sent before this instance began to stop, and so without
+   * `Connection: close`: its caller would send the next request here.
    */
   private closeAfterAnswer(): void {
     const {socket} = this.response;
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -13,26 +13,29 @@
   ReadRequest,
 } from './exchange_context.js';
 import type {AnswerHead} from './pass_through_protocol.js';
-import {readWhole} from './read_whole.js';
+import {readAnswerBody} from './read_answer_body.js';
 import {limitsOnSilence} from './silence_limits.js';
 import {SilenceWatch} from './silence_watch.js';
 
-/** Statuses that promise that a request has not run; only we may say so. */
-const PROMISING_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/**
+ * Statuses that promise a caller that its request has not run. They are never
+ * passed on from an endpoint: only this system may make that promise.
+ */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** What an {@link Attempt} is made from. */
+/** Options of {@link Attempt}. */
 export interface AttemptOptions {
   readonly context: ExchangeContext;
   readonly request: ReadRequest;
   readonly writer: AnswerWriter;
   readonly placed: Placed;
-  /** Whether another endpoint may be asked if this one is silent. */
+  /** Whether another endpoint may be tried if this one is silent. */
   readonly maySwitch: () => boolean;
-  /** The endpoint has begun to run the request. */
+  /** Called once or repeatedly when the endpoint runs the request. */
   readonly onBegun: () => void;
 }
 
-/** Owns the call; its owner decides what follows when it has ended. */
+/** Owns the call to the endpoint; its owner decides what follows a failure. */
 export class Attempt {
   private readonly call: EndpointCall;
   private readonly silence: SilenceWatch;
@@ -59,35 +62,37 @@
       onConnected: tookMs => connectPatience.note(tookMs),
     });
     const limits = limitsOnSilence(request.admission.route, timeLeftMs);
-    this.silence = new SilenceWatch(limits, () => this.leaveSilent());
+    this.silence = new SilenceWatch(limits, () => this.cancelOnSilence());
   }
 
-  /** Whether the request may have run, judged by how far it was sent. */
+  /** Whether the request may have run, judged by how much of it was sent. */
   get verdict(): Verdict {
     return this.call.verdict;
   }
 
-  /** Ends it at once; endpoints stop work when the connection closes. */
+  /** Closes the connection, upon which the endpoint stops its work. */
   cancel(): void {
     this.call.cancel();
   }
 
-  /** Passes the answer on, or returns why there is none. */
+  /** Passes the answer on to the caller, or returns why there is none. */
   async run(): Promise<AttemptResult> {
     const head = await this.call.head;
     const result =
       head.kind === 'failed'
         ? this.failedWithoutHead(head)
-        : await this.takeHead(head.response);
+        : await this.handleHead(head.response);
     this.silence.stop();
     return result;
   }
 
   /**
-   * Ends an attempt that has been silent for too long, where another may take
-   * over. Where none may, silence is no reason to end anything.
+   * Cancels the attempt after too long a silence if another endpoint may take
+   * over; otherwise the attempt continues.
+   *
+   * @returns whether it was cancelled.
    */
-  private leaveSilent(): boolean {
+  private cancelOnSilence(): boolean {
     if (!this.options.maySwitch()) return false;
     this.call.cancel();
     return true;
@@ -99,8 +104,8 @@
   }): AttemptResult {
     const hasArrived = head.verdict !== 'not_run';
     if (this.silence.hasFired) {
-      // Cancelled before the connection was established; not a timeout of the
-      // endpoint.
+      // If cancelled before the connection was established, the endpoint was
+      // unreachable, not silent.
       return {
         kind: 'failed',
         verdict: head.verdict,
@@ -117,7 +122,7 @@
     return {kind: 'failed', verdict, sign, reason, hasArrived};
   }
 
-  private async takeHead(response: IncomingMessage): Promise<AttemptResult> {
+  private async handleHead(response: IncomingMessage): Promise<AttemptResult> {
     const {context, request, placed} = this.options;
     const {protocol, state, nowMs} = context;
     const head = protocol.readAnswer(
@@ -138,7 +143,7 @@
     if (isStream && isSuccess && isOwn && head.isSigned) {
       return this.relay(response, head);
     }
-    const body = await readWhole(this.call, response);
+    const body = await readAnswerBody(this.call, response);
     if (head.isNotRun || head.isMisdirected) {
       this.call.cancel();
       const sign = head.isMisdirected ? 'unreachable' : 'rejected';
@@ -161,10 +166,13 @@
         hasArrived: true,
       };
     }
-    return this.takeWhole(head, response, body);
+    return this.handleWholeAnswer(head, response, body);
   }
 
-  /** Only a signed answer ends a limit: others may have lost their headers. */
+  /**
+   * An answer without a limit lifts the endpoint's limit only if it is signed:
+   * others may have lost their headers.
+   */
   private noteRateLimit({rateLimitPerS, isSigned}: AnswerHead): void {
     if (rateLimitPerS === undefined && !isSigned) return;
     const {context, placed} = this.options;
@@ -182,11 +190,12 @@
   }
 
   /**
-   * A caller that leaves, or an instance that ends, breaks off answers of sound
-   * endpoints: held against them, a wave of callers that give up would turn the
-   * others away from endpoints that serve well, and mark requests as ones that
-   * crash endpoints. Who leaves in the middle of a stream that had gone silent
-   * tells of its endpoint, and so does an answer that isn't whole in time.
+   * Result of an answer that ended early. If this side cancelled it, because
+   * the caller disconnected or this instance ends, it doesn't count against the
+   * endpoint: otherwise many callers that give up at once would divert traffic
+   * from healthy endpoints, and mark requests as ones that crash endpoints. It
+   * does count if the stream had gone silent before, or if the answer isn't
+   * complete by the request's deadline.
    */
   private brokenAnswer(): FailedResult {
     const {context, request} = this.options;
@@ -205,17 +214,17 @@
     return {...failed, sign, reason: 'cancelled'};
   }
 
-  private takeWhole(
+  private handleWholeAnswer(
     head: AnswerHead,
     response: IncomingMessage,
     body: Buffer,
   ): AttemptResult {
     const {context, writer, onBegun} = this.options;
-    // Whatever it says, it has begun to run the request.
+    // Whatever the status, the endpoint has begun to run the request.
     onBegun();
     const headers = context.protocol.composeAnswer(response.rawHeaders);
     const answer = {status: head.status, headers, body};
-    const isFinal = head.status < 500 && !PROMISING_STATUSES.has(head.status);
+    const isFinal = head.status < 500 && !NOT_RUN_STATUSES.has(head.status);
     if (isFinal && !writer.hasBegun) {
       writer.sendWhole(answer);
       return {kind: 'answered'};
@@ -226,7 +235,7 @@
       sign: 'failed',
       reason: `status_${head.status}`,
       hasArrived: true,
-      answer: PROMISING_STATUSES.has(head.status) ? undefined : answer,
+      answer: NOT_RUN_STATUSES.has(head.status) ? undefined : answer,
     };
   }
 
--- a/packages/gateway/src/caller_connections.ts
+++ b/packages/gateway/src/caller_connections.ts
@@ -1,26 +1,26 @@
-/** Callers' connections, and what is under way on each. */
+/** Callers' connections, and the requests and open answers on each. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 
-/** One connection, as of its latest request. */
+/** State of a connection as of its latest request. */
 export interface ConnectionFacts {
   readonly openedAtMs: number;
-  /** Requests that came on it, the latest included. */
+  /** Requests received on it, the latest included. */
   readonly requests: number;
 }
 
 interface Connection {
   readonly openedAtMs: number;
   requests: number;
-  /** Answers of which the system doesn't have the last byte yet. */
+  /** Answers whose last byte hasn't been handed to the kernel yet. */
   openAnswers: number;
 }
 
 /**
- * Tells a request on a new connection from one on a connection that was kept
- * or opened early: which of these a stopping instance should not have taken
- * can't be told from the request alone.
+ * Records the age and the requests of each connection, which the request itself
+ * doesn't show: a request that reaches a stopping instance may come on a new
+ * connection, on a kept one, or on one that was opened ahead of need.
  */
 export class CallerConnections {
   private readonly bySocket = new Map<Socket, Connection>();
@@ -31,7 +31,7 @@
     socket.once('close', () => this.bySocket.delete(socket));
   }
 
-  /** @returns the facts with this request counted. */
+  /** @returns the state of the connection, with this request counted. */
   noteRequest({socket}: IncomingMessage, nowMs: number): ConnectionFacts {
     const connection = this.bySocket.get(socket);
     if (connection === undefined) return {openedAtMs: nowMs, requests: 1};
@@ -40,10 +40,10 @@
   }
 
   /**
-   * Follows an answer until the system has its last byte, or its connection is
-   * gone. An answer that waits behind another one on its connection has no
-   * socket yet, and never closes if the connection goes meanwhile; its request
-   * has the socket, whose end counts as well.
+   * Calls `onOver` once the kernel has the last byte of an answer, or its
+   * connection has closed. A pipelined answer that waits behind another one has
+   * no socket yet, and emits no 'close' if the connection closes meanwhile;
+   * therefore the socket of its request is watched as well.
    */
   followAnswer(
     {socket}: IncomingMessage,
@@ -65,19 +65,19 @@
     socket.once('close', finish);
   }
 
-  /** Whether no other answer has to go out on the connection. */
+  /** Whether no other answer is due on the connection. */
   isLastAnswer({socket}: IncomingMessage): boolean {
     return (this.bySocket.get(socket)?.openAnswers ?? 0) <= 1;
   }
 
   /**
-   * Closes the connections that were used and rest now.
+   * Closes the connections that have been used and are idle now.
    *
-   * `closeIdleConnections` of Node.js (20) takes an answer for given once it has
-   * been handed to its connection. A slow caller has part of it then, and would
-   * see it break off.
+   * `closeIdleConnections` of Node.js (20) regards an answer as sent once it
+   * has been written to its connection. A slow caller may have only part of it
+   * by then, and its answer would be cut off.
    */
-  closeResting(): void {
+  closeIdle(): void {
     for (const [socket, {requests, openAnswers}] of this.bySocket) {
       if (requests > 0 && openAnswers === 0) socket.destroy();
     }
--- a/packages/gateway/src/callers_server.ts
+++ b/packages/gateway/src/callers_server.ts
@@ -1,4 +1,4 @@
-/** Listens to callers. */
+/** The HTTP server for callers' requests. */
 
 import {createServer, type Server} from 'node:http';
 import {Server as TcpServer} from 'node:net';
@@ -7,7 +7,7 @@
 import {splitAddress} from './endpoint_call.js';
 import type {RequestHandler} from './request_handler.js';
 
-/** What a {@link CallersServer} is made from. */
+/** Options of {@link CallersServer}. */
 export interface CallersServerOptions {
   readonly address: string;
   readonly handler: RequestHandler;
@@ -15,19 +15,19 @@
 }
 
 /**
- * Before a configuration is known; the largest header that Node.js takes by
- * default.
+ * Node.js's default limit. Four times as much is accepted, also when a
+ * configuration with another `maxHeaderBytes` is in force.
  */
-const INITIAL_MAX_HEADER_BYTES = 16_384;
+const NODE_MAX_HEADER_BYTES = 16_384;
 /**
- * A connection is closed so much later than callers may be idle, or a request
- * that was sent in time would cross our close.
+ * Added to the timeouts of callers, so that a request that was sent in time
+ * doesn't cross the closing of its connection.
  */
 const IDLE_MARGIN_MS = 2000;
-/** How often Node.js looks for connections past their header timeout. */
-const CHECK_EVERY_MS = 1000;
-/** More waiting connections than a burst on one instance brings. */
-const BACKLOG = 1024;
+/** How often Node.js checks for connections past their header timeout. */
+const CONNECTION_CHECK_INTERVAL_MS = 1000;
+/** More pending connections than a burst at one instance causes. */
+const LISTEN_BACKLOG_COUNT = 1024;
 
 /** Owns the listening socket. */
 export class CallersServer {
@@ -37,8 +37,8 @@
     const {handler, logger} = options;
     this.server = createServer(
       {
-        connectionsCheckingInterval: CHECK_EVERY_MS,
-        maxHeaderSize: INITIAL_MAX_HEADER_BYTES * 4,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
+        maxHeaderSize: NODE_MAX_HEADER_BYTES * 4,
         noDelay: true,
       },
       (request, response) => void handler.handle(request, response),
@@ -53,7 +53,7 @@
         socket.destroy();
         return;
       }
-      socket.end(answerTo(error.code));
+      socket.end(composeErrorAnswer(error.code));
     });
   }
 
@@ -61,40 +61,40 @@
     const [host, port] = splitAddress(this.options.address);
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
-      this.server.listen({host, port, backlog: BACKLOG}, resolve);
+      this.server.listen({host, port, backlog: LISTEN_BACKLOG_COUNT}, resolve);
     });
   }
 
-  /** Puts an operator's limits in force for what comes from now on. */
+  /** Applies an operator's timeouts from now on. */
   applyLimits(limits: CallerLimits): void {
     this.server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
     this.server.headersTimeout = limits.headerTimeoutMs + IDLE_MARGIN_MS;
   }
 
   /**
-   * Takes no new connections; those that are open go on.
+   * Accepts no new connections; open ones stay open.
    *
-   * An HTTP server of Node.js (20) closes connections that it takes for idle
-   * when it is closed, among them those on which the end of an answer is still
-   * on its way; the server below it does not.
+   * `close` of an HTTP server of Node.js (20) also closes connections that it
+   * regards as idle, among them those with the end of an answer still in
+   * transit; `close` of the underlying TCP server does not.
    */
   stopListening(): void {
     if (this.server.listening) TcpServer.prototype.close.call(this.server);
   }
 
-  /** Closes connections that wait for another request. */
-  closeResting(): void {
-    this.options.handler.connections.closeResting();
+  /** Closes connections that have been used and wait for another request. */
+  closeIdle(): void {
+    this.options.handler.connections.closeIdle();
   }
 
   closeAll(): void {
-    // Ends the server's own timers too.
+    // Also stops the server's own timers.
     this.server.close();
     this.server.closeAllConnections();
   }
 }
 
-function answerTo(code: string | undefined): string {
+function composeErrorAnswer(code: string | undefined): string {
   const status =
     code === 'HPE_HEADER_OVERFLOW'
       ? '431 Request Header Fields Too Large'
--- a/packages/gateway/src/capacity_duty.test.ts
+++ b/packages/gateway/src/capacity_duty.test.ts
@@ -12,7 +12,7 @@
 import type {DutyTerm} from './duty_term.js';
 import {RoutingState} from './routing_state.js';
 import {MemoryPlatform} from './test_support/memory_platform.js';
-import {NoOutput} from './test_support/no_output.js';
+import {CapturedLog} from './test_support/captured_log.js';
 
 const SERVICE = brandAs<ServiceId>('engines');
 const DATA_CENTRES = ['a', 'b', 'c'].map(id => brandAs<DataCentreId>(id));
@@ -60,7 +60,7 @@
       term,
       state: this.state,
       nowMs: () => this.nowMs,
-      logger: new NoOutput().logger,
+      logger: new CapturedLog().logger,
     });
   }
 
--- a/packages/gateway/src/crash_reporter.ts
+++ b/packages/gateway/src/crash_reporter.ts
@@ -1,4 +1,4 @@
-/** Records crashes, publishes them, and judges requests by them. */
+/** Records and publishes crashes of endpoints, and judges requests by them. */
 
 import type {Logger} from '@snipestage/log/logger.js';
 import type {
@@ -9,7 +9,7 @@
 import type {Fingerprint, InstanceId} from '@snipestage/types/ids.js';
 import type {RoutingState} from './routing_state.js';
 
-/** What a {@link CrashReporter} is made from. */
+/** Options of {@link CrashReporter}. */
 export interface CrashReporterOptions {
   readonly state: RoutingState;
   readonly instance: InstanceId;
@@ -20,7 +20,10 @@
   readonly publish: (crashes: readonly ReportedCrash[]) => void;
 }
 
-/** Crashes seen here have ids that no other instance gives. */
+/**
+ * Gives the crashes seen by this instance ids that are unique over all
+ * instances.
+ */
 export class CrashReporter {
   private count = 0;
 
@@ -35,7 +38,7 @@
     state.crashes.noteBroken(endpoint.id, fingerprint, nowMs());
   }
 
-  noteSound(
+  noteHealthy(
     endpoint: ServingEndpoint,
     fingerprint: Fingerprint | undefined,
   ): void {
@@ -46,7 +49,7 @@
     this.publishChanges();
   }
 
-  /** The endpoint refused a connection, or began a new life. */
+  /** Handles an endpoint that refused a connection or was restarted. */
   noteUnreachable(endpoint: ServingEndpoint): void {
     const {state, nowMs, instance, incarnation, logger} = this.options;
     const inFlight = state.crashes.confirm(endpoint.id, nowMs());
@@ -63,11 +66,11 @@
     this.publishChanges();
   }
 
-  /** Crashes that another instance published. */
-  learn(crashes: readonly ReportedCrash[]): void {
+  /** Merges crashes that another instance published. */
+  mergePublished(crashes: readonly ReportedCrash[]): void {
     const {state, nowMs} = this.options;
     state.suspects.merge(crashes, nowMs());
-    // What came from others is not published again.
+    // Changes that came from other instances are not published again.
     state.suspects.takeChanges(nowMs());
   }
 
--- a/packages/gateway/src/endpoint_call.ts
+++ b/packages/gateway/src/endpoint_call.ts
@@ -1,4 +1,4 @@
-/** One attempt at one endpoint over a connection of its own. */
+/** One call of an endpoint over a connection of its own. */
 
 import {
   request as httpRequest,
@@ -10,7 +10,7 @@
 import type {EndpointAddress} from '@snipestage/routing/serving_endpoint.js';
 import type {Verdict} from '@snipestage/types/verdict.js';
 
-/** What goes to the endpoint. */
+/** Options of {@link EndpointCall}: the request and how to connect. */
 export interface EndpointCallOptions {
   readonly address: EndpointAddress;
   readonly method: string;
@@ -18,21 +18,22 @@
   readonly headers: string[];
   readonly body: Buffer | undefined;
   readonly connectTimeoutMs: number;
-  /** The connection stood after so long. */
+  /** Called with the time that it took to establish the connection. */
   readonly onConnected?: (tookMs: number) => void;
 }
 
 /**
  * Why there was no answer.
  *
- * - `unreachable`: the endpoint's machine refused the connection.
- * - `connect_timeout`: nothing came back.
+ * - `unreachable`: the connection was refused or failed to open.
+ * - `connect_timeout`: the connection wasn't established in time.
  * - `broken`: the connection ended before an answer.
+ * - `cancelled`: the call was ended from this side.
  */
 export type CallFailureReason =
   'unreachable' | 'connect_timeout' | 'broken' | 'cancelled';
 
-/** How a call's head ended. */
+/** The head of the answer, or why there is none. */
 export type CallHead =
   | {readonly kind: 'head'; readonly response: IncomingMessage}
   | {
@@ -43,32 +44,33 @@
     };
 
 /**
- * A connection is never shared or reused. One that was idle may have gone
- * silent, or bring a late answer to the request before: then a request that may
- * not be repeated would be lost, or a caller get another's answer.
+ * Sends one request on a connection that is never shared or reused. An idle
+ * connection may have gone dead, or may deliver a late answer to an earlier
+ * request: a request that must not be repeated would be lost, or a caller would
+ * get the answer to another's request.
  */
 export class EndpointCall {
   private readonly cancellation = new AbortController();
   private connection: FreshConnection | undefined;
   private request: ClientRequest | undefined;
-  private closedWell: Promise<boolean> = Promise.resolve(false);
+  private closedCleanly: Promise<boolean> = Promise.resolve(false);
   readonly head: Promise<CallHead>;
 
   constructor(private readonly options: EndpointCallOptions) {
     this.head = this.run();
   }
 
-  /** `not_run` until bytes have been handed to an open connection. */
+  /** `not_run` until bytes have been written to an open connection. */
   get verdict(): Verdict {
     return this.connection?.verdict ?? 'not_run';
   }
 
   /**
-   * Whether an answer that has come to its end is whole.
+   * Whether an answer that has ended is complete.
    *
-   * The end of an answer without a length is the end of its connection, and
-   * Node.js (20) takes a reset for that end as well; {@link watchEnd} tells a
-   * crash in the middle from a proper end.
+   * An answer without a length ends with its connection, and Node.js (20)
+   * accepts a reset as that end, too; {@link closesCleanly} distinguishes a
+   * crash in the middle of the answer from a regular end.
    */
   async isWhole(response: IncomingMessage): Promise<boolean> {
     if (!response.complete) return false;
@@ -76,15 +78,15 @@
     const hasLength =
       headers['content-length'] !== undefined ||
       headers['transfer-encoding'] !== undefined;
-    return hasLength || this.closedWell;
+    return hasLength || this.closedCleanly;
   }
 
-  /** Whether it was ended from this side. */
+  /** Whether the call was ended from this side. */
   get isCancelled(): boolean {
     return this.cancellation.signal.aborted;
   }
 
-  /** Ends the attempt; endpoints stop work when the connection closes. */
+  /** Closes the connection, upon which the endpoint stops its work. */
   cancel(): void {
     this.cancellation.abort();
     this.request?.destroy();
@@ -105,7 +107,7 @@
     }
     this.options.onConnected?.(performance.now() - startedAtMs);
     this.connection = connection;
-    this.closedWell = watchEnd(connection.createConnection());
+    this.closedCleanly = closesCleanly(connection.createConnection());
     if (this.isCancelled) return this.failed('broken', '');
     return this.send(connection);
   }
@@ -144,15 +146,15 @@
 }
 
 /**
- * Whether a connection was closed by its peer rather than reset.
+ * Resolves at the end of a connection, with whether its peer closed rather than
+ * reset it.
  *
- * A reset that arrives together with the last bytes is reported by libuv as an
- * end of the stream, without an error. At that moment the system holds such a
- * connection for gone and has no peer to name, while one that was closed still
- * has its peer. Nothing may have asked for the peer before, since Node.js keeps
- * the answer.
+ * libuv reports a reset that arrives together with the last bytes as an end of
+ * the stream, without an error. At that moment the kernel no longer knows a
+ * peer address of a reset connection, while a closed one still has one.
+ * `remoteAddress` must not have been read before, since Node.js caches it.
  */
-function watchEnd(socket: Socket): Promise<boolean> {
+function closesCleanly(socket: Socket): Promise<boolean> {
   let hadPeerAtEnd = false;
   socket.prependListener('end', () => {
     hadPeerAtEnd = socket.remoteAddress !== undefined;
@@ -163,6 +165,8 @@
 }
 
 /**
+ * Splits an address into host and port.
+ *
  * @example
  * splitAddress('10.0.0.1:80'); // ['10.0.0.1', 80]
  */
--- a/packages/gateway/src/event_relay.ts
+++ b/packages/gateway/src/event_relay.ts
@@ -1,12 +1,12 @@
-/** Passes a stream of events on to the caller as they come. */
+/** Forwards a stream of events to the caller as they arrive. */
 
 import type {IncomingMessage} from 'node:http';
 import type {AnswerWriter} from './answer_writer.js';
 import type {EndpointCall} from './endpoint_call.js';
-import {EventSplitter, type WholeEvent} from './event_splitter.js';
+import {EventSplitter, type ServerSentEvent} from './event_splitter.js';
 import type {FlatHeaders} from './pass_through_protocol.js';
 
-/** What an {@link EventRelay} is made from. */
+/** Options of {@link EventRelay}. */
 export interface EventRelayOptions {
   readonly call: EndpointCall;
   readonly response: IncomingMessage;
@@ -17,22 +17,22 @@
 }
 
 /**
- * The head goes out with the first event, so that until then another endpoint
- * may take over under its own head. A stream that goes on after a break keeps
- * the head of its first endpoint, and events that the caller has already are
- * left out.
+ * Forwards one endpoint's stream. The head is sent with the first event, so
+ * that until then another endpoint may take over with its own head. A stream
+ * that is resumed keeps the head of its first endpoint, and events that the
+ * caller has already received are skipped.
  */
 export class EventRelay {
   private readonly splitter = new EventSplitter();
 
   constructor(private readonly options: EventRelayOptions) {}
 
-  /** @returns whether the stream came to its proper end. */
+  /** @returns whether the stream was complete. */
   run(): Promise<boolean> {
     const {call, response} = this.options;
     return new Promise(resolve => {
       response.on('data', (chunk: Buffer) => {
-        for (const event of this.splitter.push(chunk)) this.pass(event);
+        for (const event of this.splitter.push(chunk)) this.forward(event);
       });
       let hasEnded = false;
       response.on('end', () => {
@@ -57,7 +57,7 @@
     writer.finish();
   }
 
-  private pass(event: WholeEvent): void {
+  private forward(event: ServerSentEvent): void {
     const {response, writer} = this.options;
     if (isRepeated(event, writer.lastEventId)) return;
     this.begin();
@@ -74,7 +74,10 @@
   }
 }
 
-function isRepeated(event: WholeEvent, lastId: string | undefined): boolean {
+function isRepeated(
+  event: ServerSentEvent,
+  lastId: string | undefined,
+): boolean {
   if (event.id === undefined || lastId === undefined) return false;
   const [id, last] = [Number(event.id), Number(lastId)];
   return Number.isFinite(id) && Number.isFinite(last) && id <= last;
--- a/packages/gateway/src/event_splitter.test.ts
+++ b/packages/gateway/src/event_splitter.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import {EventSplitter} from './event_splitter.js';
 
-test('events come out whole however the bytes are cut', t => {
+test('events are complete however the bytes are split', t => {
   const events = ['id: 1\ndata: a\n\n', 'id: 2\r\ndata: bb\r\n\r\n', ': c\n\n'];
   const bytes = Buffer.from(events.join(''));
   fc.assert(
@@ -23,7 +23,7 @@
   t.pass();
 });
 
-test('the id of an event is told, the rest is kept', t => {
+test('returns the id of an event and keeps the bytes after it', t => {
   const splitter = new EventSplitter();
   const [event] = splitter.push(Buffer.from('x: 1\nid: 42\ndata: a\n\nid: 43'));
   t.is(event.id, '42');
--- a/packages/gateway/src/event_splitter.ts
+++ b/packages/gateway/src/event_splitter.ts
@@ -1,9 +1,9 @@
-/** Cuts a stream of bytes into whole server-sent events. */
+/** Splits a stream of bytes into complete server-sent events. */
 
-/** An event with the blank line that ends it. */
-export interface WholeEvent {
+/** An event, including the blank line that ends it. */
+export interface ServerSentEvent {
   readonly bytes: Buffer;
-  /** Value of its `id` field. */
+  /** Value of its `id` field; undefined without one. */
   readonly id: string | undefined;
 }
 
@@ -12,22 +12,23 @@
 const ID_FIELD = /^id: ?(.*)$/m;
 
 /**
- * An endpoint may stop in the middle of an event. What the caller gets ends at
- * the end of an event all the same, so that the stream can be resumed.
+ * Emits complete events only. If an endpoint stops in the middle of an event,
+ * the caller's stream still ends at the end of an event, so that it can be
+ * resumed.
  */
 export class EventSplitter {
   private rest: Buffer = Buffer.alloc(0);
 
   /**
-   * Takes in bytes and gives the events that are whole now.
+   * Adds bytes and returns the events that are complete now.
    *
    * @example
    * for (const event of splitter.push(chunk)) response.write(event.bytes);
    */
-  push(chunk: Buffer): WholeEvent[] {
+  push(chunk: Buffer): ServerSentEvent[] {
     const bytes =
       this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    const events: WholeEvent[] = [];
+    const events: ServerSentEvent[] = [];
     let begin = 0;
     for (;;) {
       const end = findEventEnd(bytes, begin);
@@ -43,7 +44,7 @@
     return events;
   }
 
-  /** Bytes after the last whole event. */
+  /** Removes and returns the bytes after the last complete event. */
   takeRest(): Buffer {
     const rest = this.rest;
     this.rest = Buffer.alloc(0);
@@ -51,7 +52,7 @@
   }
 }
 
-/** Position after the blank line that ends the event, if it is there. */
+/** Position after the blank line that ends the event; undefined if missing. */
 function findEventEnd(bytes: Buffer, begin: number): number | undefined {
   let lineFeed = bytes.indexOf(LINE_FEED, begin);
   while (lineFeed >= 0) {
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -1,4 +1,4 @@
-/** One caller's request from its body to the end of its answer. */
+/** One caller's request, from the choice of an endpoint to the final answer. */
 
 import {
   decideAfterFailure,
@@ -20,7 +20,7 @@
   ReadRequest,
 } from './exchange_context.js';
 
-/** Owns the attempts of one request; at most one is under way. */
+/** Owns the attempts of one request; at most one is in progress. */
 export class Exchange {
   private readonly history = new AttemptHistory();
   private verdict: Verdict = 'not_run';
@@ -29,9 +29,11 @@
   private hasBegunRun = false;
   private lastFailure: WholeAnswer | undefined;
   private lastReason = 'none';
-  /** Coming back sooner is of no use. */
+  /**
+   * No endpoint takes a request before this time has passed, as far as known.
+   */
   private minRetryAfterMs = 0;
-  /** What the last endpoint seemed to have, and how old that was. */
+  /** Estimated load of the last endpoint when it was chosen, and its age. */
   private loadWhenChosen: number | undefined;
   private loadAgeWhenChosenMs: number | undefined;
   private lastGroup: PlacementGroup | undefined;
@@ -42,7 +44,7 @@
     private readonly writer: AnswerWriter,
   ) {}
 
-  /** Resolves when the caller has its final answer or is gone. */
+  /** Resolves when the final answer is written or the caller is gone. */
   async run(): Promise<void> {
     const {state, nowMs} = this.context;
     const {service, route} = this.request.admission;
@@ -59,21 +61,25 @@
     }
   }
 
-  /** The caller hung up: whatever runs for it is ended at once. */
+  /** Cancels the current attempt, as the caller has disconnected. */
   cancel(): void {
     this.current?.cancel();
   }
 
-  /** The instance ends before an answer has come: answers with what is known. */
+  /**
+   * Sends the final answer before an endpoint has given one, since the
+   * request's time is over or this instance ends.
+   */
   giveUp(reason: string): void {
     if (this.writer.isOver) return;
     this.lastReason = reason;
-    // The answer goes first: what the endpoint did is unknown once we hang up.
+    // The answer is sent before the attempt is cancelled: once its connection
+    // is closed, what the endpoint did is unknown.
     this.fail();
     this.current?.cancel();
   }
 
-  /** For the log line of the request. */
+  /** Fields for the log line of the request. */
   summarise(): Record<string, unknown> {
     const {firstEventAtMs, longestPauseMs, events} = this.writer;
     const firstMs =
@@ -105,8 +111,8 @@
   }
 
   /**
-   * What was given up counts too, with the time that it had: left out, a route
-   * whose long answers all break off would seem a quick one.
+   * Requests that were given up count too, with the time until then: without
+   * them, a route whose long answers are all cut off would appear fast.
    */
   private noteDuration(): void {
     if (this.verdict === 'not_run') return;
@@ -120,20 +126,20 @@
       if (this.writer.isOver) return;
       const placed = this.choose();
       if (placed === undefined) {
-        if (this.history.excluded.size === 0) this.noteNone();
+        if (this.history.excluded.size === 0) this.noteNoEndpoint();
         return this.fail();
       }
       const result = await this.attempt(placed);
       if (result.kind === 'answered' || this.writer.isOver) return;
-      if (!this.mayGoOn(result)) return this.fail();
+      if (!this.mayRetry(result)) return this.fail();
     }
   }
 
-  /** No endpoint could be asked at all. */
-  private noteNone(): void {
+  /** Records why no endpoint could be tried at all. */
+  private noteNoEndpoint(): void {
     const {state, nowMs} = this.context;
     const {service} = this.request.admission;
-    const {reason, retryAfterMs} = state.explainNone(service, nowMs());
+    const {reason, retryAfterMs} = state.explainNoEndpoint(service, nowMs());
     this.lastReason = reason;
     this.minRetryAfterMs = retryAfterMs;
   }
@@ -153,7 +159,7 @@
     });
   }
 
-  private mayGoOn(result: FailedResult): boolean {
+  private mayRetry(result: FailedResult): boolean {
     const {state, nowMs} = this.context;
     const {route, service} = this.request.admission;
     this.lastReason = result.reason;
@@ -221,7 +227,10 @@
     });
   }
 
-  /** Another endpoint may run it too, and there is one and a budget for it. */
+  /**
+   * Whether the request may run on another endpoint too, one is left to try,
+   * and the retry budget has room.
+   */
   private maySwitch(): boolean {
     const {route, service} = this.request.admission;
     const {state, nowMs} = this.context;
@@ -231,7 +240,7 @@
     return hasOther && state.budgetFor(service).hasRoom(nowMs());
   }
 
-  /** Endpoints that were not asked and whose rate limits admit a request. */
+  /** Endpoints not tried yet whose rate limits admit a request. */
   private listUntried(): readonly ServingEndpoint[] {
     const {state, nowMs} = this.context;
     const {service} = this.request.admission;
@@ -250,7 +259,7 @@
     this.context.onBegun(this.request.admission, this.context.nowMs());
   }
 
-  /** Records how an attempt ended. */
+  /** Records the result of an attempt. */
   private settle(
     endpoint: ServingEndpoint,
     result: AttemptResult,
@@ -266,7 +275,11 @@
     this.history.fail(endpoint, {...result, hasTimedOut});
   }
 
-  /** The final answer when no endpoint gives one. */
+  /**
+   * Sends the final answer when no endpoint gives one: the latest error answer
+   * of an endpoint unless the request's time is over, else a status of this
+   * system's own.
+   */
   private fail(): void {
     if (this.writer.isOver) return;
     const {state, protocol, nowMs} = this.context;
--- a/packages/gateway/src/exchange_context.ts
+++ b/packages/gateway/src/exchange_context.ts
@@ -1,4 +1,4 @@
-/** What a request's handling goes by, and how one attempt of it ended. */
+/** Context and input of an exchange, and results of its attempts. */
 
 import type {Logger} from '@snipestage/log/logger.js';
 import type {ConnectPatience} from '@snipestage/routing/connect_patience.js';
@@ -15,7 +15,7 @@
 } from './pass_through_protocol.js';
 import type {RoutingState} from './routing_state.js';
 
-/** What all exchanges share. */
+/** Shared by all exchanges. */
 export interface ExchangeContext {
   readonly state: RoutingState;
   readonly protocol: PassThroughProtocol;
@@ -25,11 +25,11 @@
   readonly metrics: GatewayMetrics;
   readonly nowMs: () => number;
   readonly connectPatience: ConnectPatience;
-  /** A request of the account began to run at this time of our clock. */
+  /** Called when a request began to run; `atMs` is on this instance's clock. */
   readonly onBegun: (admission: Admission, atMs: number) => void;
 }
 
-/** A request that is read. */
+/** An admitted request whose body has been read. */
 export interface ReadRequest {
   readonly caller: CallerRequest;
   readonly admission: Admission;
@@ -39,21 +39,22 @@
   readonly body: Buffer | undefined;
   readonly fingerprint: Fingerprint | undefined;
   readonly arrivedAtMs: number;
-  /** The caller's patience or the operator's limit, whichever is shorter. */
+  /** Deadline: the caller's or the route's timeout, whichever is shorter. */
   readonly endsAtMs: number;
 }
 
 /** How an attempt ended. */
 export type AttemptResult = {readonly kind: 'answered'} | FailedResult;
 
-/** An attempt after which the caller has no final answer. */
+/** The result of an attempt after which the caller has no final answer. */
 export type FailedResult = {
   readonly kind: 'failed';
   readonly verdict: Verdict;
+  /** What it shows of the endpoint's health; undefined: nothing. */
   readonly sign: EndpointSign | undefined;
   readonly reason: string;
-  /** The endpoint got the request, whatever it made of it. */
+  /** The endpoint got the request, whether or not it ran it. */
   readonly hasArrived: boolean;
-  /** The endpoint's own failure, which the caller may be given. */
+  /** The endpoint's own failure, which may be passed on to the caller. */
   readonly answer?: WholeAnswer;
 };
--- a/packages/gateway/src/gateway.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -3,9 +3,9 @@
 import {get, startGateway, waitUntil} from './test_support/test_gateway.js';
 
 test('an instance is ready with a configuration only, and not while it stops', async t => {
-  // The balancer sends callers to whoever says ready. Without a configuration
-  // they would be told that nothing exists; an instance that stops and still
-  // says ready would be sent new ones until it is gone.
+  // The balancer sends callers to instances that report ready. Without a
+  // configuration an instance would answer them 404; one that stops and still
+  // reports ready would get new callers until its process ends.
   const {gateway, configuration, callers, readiness} = await startGateway();
   t.is((await get(readiness)).statusCode, 503);
   t.is((await get(callers)).statusCode, 503);
@@ -18,8 +18,8 @@
   t.is((await get(callers, agent)).headers.connection, 'keep-alive');
   const stopped = gateway.stop();
   t.is((await get(readiness)).statusCode, 503);
-  // The balancer has not noticed yet: whoever it sends is served, and told that
-  // the connection ends with the answer.
+  // The balancer has not noticed yet: requests are still served, and their
+  // connections close with the answers.
   const answer = await get(callers, agent);
   t.is(answer.statusCode, 404);
   t.is(answer.headers.connection, 'close');
@@ -28,8 +28,8 @@
 });
 
 test('an older version never replaces a newer one', async t => {
-  // A read of the store comes late. Keys that were withdrawn a moment ago would
-  // open again.
+  // A read of the store arrives late. Keys withdrawn meanwhile would become
+  // valid again.
   const {gateway, configuration} = await startGateway();
   configuration.put('7');
   await waitUntil(() => gateway.isReady);
@@ -43,7 +43,7 @@
 });
 
 test('a change of the configuration leaves evacuations in force', async t => {
-  // Guards against a reread or an unrelated change that reopens a data centre.
+  // A reread or an unrelated change must not reopen an evacuated data centre.
   const {gateway, configuration} = await startGateway();
   configuration.put('evacuate/akl-a');
   configuration.put('1');
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,6 @@
-/** The pass-through door as one process: its tasks, start, reload and stop. */
+/**
+ * The pass-through gateway as one process: its tasks, start, reload and stop.
+ */
 
 import {randomUUID} from 'node:crypto';
 import type {BoundedOutput} from '@snipestage/log/bounded_output.js';
@@ -28,7 +30,7 @@
 import {StateFollower, type FollowedTables} from './state_follower.js';
 import {StoreRecovery} from './store_recovery.js';
 
-/** What a {@link Gateway} is made from. */
+/** Options of {@link Gateway}. */
 export interface GatewayOptions {
   readonly settings: GatewaySettings;
   readonly platform: Platform;
@@ -41,12 +43,15 @@
 }
 
 const DRAIN_CHECK_EVERY_MS = 100;
-/** Some round trips to callers, and small against what a stop leaves. */
-const FLUSH_MS = 50;
-/** Lets answers be read that came while the process stood still. */
-const CATCH_UP_MS = 20;
-/** Half of what a stop leaves after the last requests. */
-const FINISH_USAGE_MS = 300;
+/**
+ * Time for final answers to reach callers before connections are closed:
+ * several round trips, and short compared with what is left of the grace time.
+ */
+const FLUSH_WAIT_MS = 50;
+/** Time to read answers that arrived while the process was frozen. */
+const READ_PENDING_WAIT_MS = 20;
+/** Half of the grace time that is left after the last requests. */
+const FINISH_USAGE_TIMEOUT_MS = 300;
 
 /** Owns all tasks of the process. */
 export class Gateway {
@@ -134,17 +139,17 @@
     });
   }
 
-  /** Ready as soon as the configuration and the endpoints are known. */
+  /** Whether configuration and endpoints are known and it isn't stopping. */
   get isReady(): boolean {
     return !this.shutdown.isStopping && this.follower.isComplete;
   }
 
-  /** Version in force; undefined before the first. */
+  /** Version of the configuration in force; undefined before the first. */
   get configurationVersion(): number | undefined {
     return this.state.table?.configuration.version;
   }
 
-  /** Data centres that operators have evacuated, as far as it is known here. */
+  /** Data centres that operators have evacuated, as known to this instance. */
   get evacuated(): readonly DataCentreId[] {
     return this.state.directory.listEvacuated();
   }
@@ -161,32 +166,33 @@
     });
   }
 
-  /** Settings were read again; requests go on untouched. */
+  /** Applies settings that were read again; requests continue undisturbed. */
   reload(settings: GatewaySettings): void {
     this.state.changeRetry(settings.retry);
     this.options.logger.info('reloaded', {retryRatio: settings.retry.ratio});
   }
 
-  /** Settings could not be read again; the ones before stay in force. */
+  /** Logs that settings could not be read again; the old ones stay in force. */
   noteBadSettings(error: unknown): void {
     this.options.logger.error('reload_failed', {error: String(error)});
   }
 
-  /** A reading of the store's clock, from any answer. */
+  /** Takes a reading of the store's clock, from any answer of the store. */
   noteClock(reading: StoreClockReading): void {
     this.clock.noteReading(reading);
   }
 
-  /** Under which duties are carried out now. */
+  /** Fencing token under which duties are carried out now, if they are. */
   get dutyToken(): FencingToken | undefined {
     return this.duties.token;
   }
 
   /**
-   * Lets the balancer notice, hands the duties over and waits for the requests
-   * in progress; their connections close with their answers. Told again, it
-   * goes on with the same stop: the process ends when this resolves, and a
-   * second signal would cut whatever is in progress if it resolved at once.
+   * Hands over the duties, waits until the balancer has noticed and the
+   * requests in progress have ended, at most for the grace time; their
+   * connections close with their answers. Further calls return the promise of
+   * the first. The process exits when it resolves: if it resolved at once, a
+   * second signal would cut off requests in progress.
    */
   stop(): Promise<void> {
     this.stopped ??= this.stopOnce();
@@ -221,25 +227,27 @@
         return this.giveUpRest();
       }
       if (!this.shutdown.hasBalancerNoticed(nowMs)) continue;
-      // What came from now on might not be finished within the grace time.
+      // Requests on new connections might not finish within the grace time.
       this.callers.stopListening();
-      this.callers.closeResting();
+      this.callers.closeIdle();
       if (this.handler.inProgress === 0) return;
     }
   }
 
   private async giveUpRest(): Promise<void> {
-    // After a freeze the timer fires before the sockets are read.
-    await new Promise(done => setTimeout(done, CATCH_UP_MS));
+    // After a freeze of the process, timers fire before sockets are read.
+    await new Promise(done => setTimeout(done, READ_PENDING_WAIT_MS));
     const {inProgress} = this.handler;
     this.options.logger.warn('grace_time_over', {inProgress});
     this.handler.giveUpAll();
-    // Whatever is written on a connection is lost with it when it closes now.
-    await new Promise(done => setTimeout(done, FLUSH_MS));
+    // Data still in flight on a connection would be lost if it closed now.
+    await new Promise(done => setTimeout(done, FLUSH_WAIT_MS));
   }
 
   private async finishUsage(): Promise<void> {
-    const limit = new Promise(done => setTimeout(done, FINISH_USAGE_MS));
+    const limit = new Promise(done =>
+      setTimeout(done, FINISH_USAGE_TIMEOUT_MS),
+    );
     await Promise.race([this.duties.finishUsage(), limit]);
     this.follower.stop();
   }
@@ -273,7 +281,7 @@
     this.options.metrics.setConfigurationVersion(version);
   }
 
-  /** What the process knows and believes; no keys. */
+  /** Known and estimated state of the process, without callers' keys. */
   private dump(): object {
     return {
       instance: this.options.settings.instance,
--- a/packages/gateway/src/gateway_metrics.ts
+++ b/packages/gateway/src/gateway_metrics.ts
@@ -3,7 +3,7 @@
 import type {PlacementGroup} from '@snipestage/routing/placement.js';
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 
-/** From a millisecond to the longest time that callers wait. */
+/** From one millisecond to the longest time that callers wait. */
 const LATENCY_BUCKETS_MS = [
   1, 3, 10, 30, 60, 100, 200, 300, 400, 600, 1000, 2000, 4000, 8000, 16_000,
 ];
@@ -95,7 +95,7 @@
     this.storeCalls.inc({call, outcome});
   }
 
-  /** @param outcome `taken`, or why they were dropped. */
+  /** @param outcome `taken`, or why the loads were dropped. */
   countLoads(outcome: string, count: number): void {
     this.loads.inc({outcome}, count);
   }
--- a/packages/gateway/src/gateway_pages.ts
+++ b/packages/gateway/src/gateway_pages.ts
@@ -1,11 +1,11 @@
-/** What the operations addresses of a gateway serve. */
+/** The pages that a gateway serves on its operations addresses. */
 
 import type {BoundedOutput} from '@snipestage/log/bounded_output.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 import type {GatewaySettings} from './gateway_settings.js';
 import {OperationsServer, type OperationsPage} from './operations_server.js';
 
-/** What the pages show. */
+/** Options of {@link createPages}. */
 export interface GatewayPagesOptions {
   readonly settings: Pick<
     GatewaySettings,
@@ -14,13 +14,13 @@
   readonly metrics: GatewayMetrics;
   readonly output: Pick<BoundedOutput, 'dropped'>;
   readonly isReady: () => boolean;
-  /** What the process knows and believes; no keys. */
+  /** Known and estimated state of the process, without callers' keys. */
   readonly dump: () => object;
 }
 
 /**
- * Readiness on one address; metrics and the dump of state on another, where the
- * settings have one.
+ * Creates the server for readiness and, if the settings have a metrics address,
+ * one for metrics and the dump of state.
  *
  * @example
  * for (const server of createPages(options)) await server.start();
--- a/packages/gateway/src/gateway_settings.ts
+++ b/packages/gateway/src/gateway_settings.ts
@@ -1,17 +1,17 @@
-/** Settings of the pass-through door. */
+/** Settings of the pass-through gateway. */
 
 import type {WarmupTolerance} from '@snipestage/routing/warmup_gate.js';
 import type {DataCentreId, InstanceId} from '@snipestage/types/ids.js';
 
-/** `<IP number>:<port>`. */
+/** `<IP address>:<port>`. */
 export type ListenAddress = string;
 
-/** Bounds on attempts beyond the first of a request, over all instances. */
+/** Retry budget: limits on further attempts of requests, over all instances. */
 export interface RetrySettings {
-  /** Further attempts for each request. */
+  /** Further attempts allowed per request. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Further attempts in a window beyond the ratio. */
+  /** Further attempts allowed in a window beyond the ratio. */
   readonly slack: number;
   /** See {@link WindowBudgetOptions}. */
   readonly floor?: number;
@@ -25,13 +25,15 @@
   readonly metricsAddress: ListenAddress | undefined;
   readonly retry: RetrySettings;
   readonly changes: {
-    /** A change has to be known so soon, also over a connection that broke. */
+    /**
+     * Time within which a change has to be known, even if a connection broke.
+     */
     readonly knownWithinMs: number;
-    /** A change has to be in force so soon after the store has taken it. */
+    /** Time within which a change accepted by the store has to be in force. */
     readonly inForceWithinMs: number;
   };
   readonly relays: {
-    /** Where other instances may reach this one; undefined: it takes no part. */
+    /** Address for other instances; undefined: this one takes no part. */
     readonly address: ListenAddress | undefined;
     readonly dataCentres: number;
     /** 0 to 1: how well this instance's machine can serve others. */
@@ -40,18 +42,18 @@
   /** By how much the rate of a cold endpoint may be exceeded. */
   readonly warmup?: WarmupTolerance;
   readonly shutdown: {
-    /** After this the process is killed. */
+    /** Time from the signal to stop until the process is killed. */
     readonly graceMs: number;
   };
   readonly lease: {
-    /** Two holders may not act by turns within this time. */
+    /** Term of the lease; two holders must not both act within this time. */
     readonly termMs: number;
   };
   readonly usage: {
     readonly windowMs: number;
-    /** A window's report is due so long after its end. */
+    /** Time after the end of a window at which its report is due. */
     readonly dueAfterMs: number;
-    /** Share by which a figure may be off. */
+    /** Share by which a reported count may be off. */
     readonly tolerance: number;
   };
   readonly duties: {
--- a/packages/gateway/src/operations_server.ts
+++ b/packages/gateway/src/operations_server.ts
@@ -1,9 +1,9 @@
-/** Serves readiness, and on another address metrics and a dump of state. */
+/** A small HTTP server for readiness, metrics and a dump of state. */
 
 import {createServer, type Server} from 'node:http';
 import {splitAddress} from './endpoint_call.js';
 
-/** A page by its path; undefined when there is none. */
+/** Renders the page of a path; undefined when there is none. */
 export type PageRenderer = (
   path: string,
 ) => Promise<OperationsPage | undefined>;
@@ -14,7 +14,7 @@
   readonly body: string;
 }
 
-/** Small pages for machines and operators. */
+/** Serves pages for machines and operators on one address. */
 export class OperationsServer {
   private readonly server: Server;
 
--- a/packages/gateway/src/parse_json.ts
+++ b/packages/gateway/src/parse_json.ts
@@ -1,8 +1,8 @@
 /** Parses JSON from other processes. */
 
 /**
- * @returns undefined when there are no bytes, or when they are no JSON; whoever
- *   asks logs what could not be read.
+ * @returns undefined when there are no bytes or they aren't valid JSON; logging
+ *   that is left to the caller.
  * @example
  * const value = parseJson(row.data);
  */
--- a/packages/gateway/src/pass_through_protocol.ts
+++ b/packages/gateway/src/pass_through_protocol.ts
@@ -1,4 +1,4 @@
-/** What callers and endpoints say in headers, in the product's own terms. */
+/** Contents of callers' and endpoints' headers, in this system's own terms. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {ReportedLoad} from '@snipestage/routing/endpoint_monitor.js';
@@ -10,57 +10,62 @@
   RequestId,
 } from '@snipestage/types/ids.js';
 
-/** What a caller's headers say. */
+/** Contents of the headers of a caller's request. */
 export interface CallerRequest {
   readonly requestId: RequestId;
-  /** How long the caller waits; undefined when it doesn't say. */
+  /** The caller's timeout; undefined when it states none. */
   readonly waitsForMs: number | undefined;
   readonly key: string | undefined;
   readonly prompt: Prompt | undefined;
-  /** The caller continues a stream after this event. */
+  /** The caller resumes a stream after this event. */
   readonly lastEventId: string | undefined;
 }
 
-/** What the system adds to a request for its endpoint. */
+/** Data for the headers that are added to a request for its endpoint. */
 export interface ForwardedRequest {
   readonly endpoint: EndpointId;
   readonly clientAccount: ClientAccountId | undefined;
   readonly timeLeftMs: number;
   /** 0 is served first. */
   readonly urgencyRank: number;
-  /** A stream goes on after this event. */
+  /** A stream is resumed after this event. */
   readonly lastEventId: string | undefined;
-  /** Whose cache may have the start of the prompt. */
+  /** Another endpoint whose cache may have the start of the prompt. */
   readonly cacheSource: EndpointAddress | undefined;
   readonly bodyBytes: number | undefined;
 }
 
-/** What an answer's head says. */
+/** Status of an answer and contents of its headers. */
 export interface AnswerHead {
   readonly status: number;
-  /** The request that it answers, as the endpoint says. */
+  /** Id of the request that is answered, as stated by the endpoint. */
   readonly requestId: string | undefined;
-  /** Carries the endpoint's proof that the answer is its own. */
+  /** Whether it carries the endpoint's proof that the answer is its own. */
   readonly isSigned: boolean;
-  /** The endpoint says that it did not run the request. */
+  /** Whether the endpoint states that it did not run the request. */
   readonly isNotRun: boolean;
-  /** Another endpoint has the address now. */
+  /** Whether another endpoint has the address now. */
   readonly isMisdirected: boolean;
-  /** The body isn't the endpoint's bytes as they were. */
+  /** Whether the body is encoded, so that it isn't the endpoint's own bytes. */
   readonly isEncoded: boolean;
   readonly load: ReportedLoad | undefined;
-  /** Requests a second that it takes from all instances together, if limited. */
+  /**
+   * Requests a second that it accepts from all instances together, if limited.
+   */
   readonly rateLimitPerS: number | undefined;
 }
 
 /** Header names and values as `name, value, name, value, ...`. */
 export type FlatHeaders = readonly string[];
 
-/** Translates headers at the boundary; decides nothing. */
+/** Translates headers at the boundary; makes no decisions. */
 export abstract class PassThroughProtocol {
   abstract readRequest(headers: IncomingHttpHeaders): CallerRequest;
 
-  /** The caller's headers without hop-by-hop, secret and reserved ones. */
+  /**
+   * The caller's headers without hop-by-hop, secret and reserved ones, plus the
+   * headers that carry `forwarded`.
+   */
   abstract composeForwarded(
     rawHeaders: FlatHeaders,
     forwarded: ForwardedRequest,
@@ -71,6 +76,6 @@
   /** The endpoint's headers without hop-by-hop ones. */
   abstract composeAnswer(rawHeaders: FlatHeaders): string[];
 
-  /** Headers of a refusal that says when to come back. */
+  /** Headers that tell a refused caller when to retry. */
   abstract composeRetryAfter(retryAfterMs: number): Record<string, string>;
 }
--- a/packages/gateway/src/read_whole.ts
+++ b/packages/gateway/src/read_answer_body.ts
@@ -1,14 +1,14 @@
-/** Reads a whole answer of an endpoint. */
+/** Reads the complete body of an answer of an endpoint. */
 
 import type {IncomingMessage} from 'node:http';
 import type {EndpointCall} from './endpoint_call.js';
 
 /**
- * @returns undefined when the answer broke off before its end.
+ * @returns undefined when the answer ended before it was complete.
  * @example
  * const body = await readWhole(call, response);
  */
-export function readWhole(
+export function readAnswerBody(
   call: EndpointCall,
   response: IncomingMessage,
 ): Promise<Buffer | undefined> {
--- a/packages/gateway/src/read_request_body.ts
+++ b/packages/gateway/src/read_request_body.ts
@@ -2,13 +2,13 @@
 
 import type {IncomingMessage} from 'node:http';
 
-/** The bytes, nothing, or why there are none. */
+/** The body; undefined for a request without one; or why it was not read. */
 export type RequestBody = Buffer | undefined | 'too_large' | 'broken';
 
 /**
  * Reads the whole body before an endpoint is chosen: an endpoint that answers
- * early and reads on later then gets the rest that is due, and another endpoint
- * can be offered the same bytes.
+ * before it has read the body still gets the rest, and the same bytes can be
+ * sent to another endpoint.
  *
  * @example
  * const body = await readRequestBody(request, limits.maxBodyBytes);
--- a/packages/gateway/src/record_outcome.ts
+++ b/packages/gateway/src/record_outcome.ts
@@ -1,4 +1,4 @@
-/** What an attempt shows of its endpoint and of the request. */
+/** Records what an attempt shows of its endpoint and of the request. */
 
 import type {ServingEndpoint} from '@snipestage/routing/serving_endpoint.js';
 import type {
@@ -8,7 +8,7 @@
   ReadRequest,
 } from './exchange_context.js';
 
-/** An attempt that has ended. */
+/** Endpoint, result and duration of an attempt that has ended. */
 export interface AttemptOutcome {
   readonly endpoint: ServingEndpoint;
   readonly result: AttemptResult;
@@ -16,7 +16,8 @@
 }
 
 /**
- * Records an attempt with everything that later requests are placed by.
+ * Records an attempt in all state by which later requests are placed, and in
+ * the metrics and the log.
  *
  * @example
  * recordOutcome(context, request, {endpoint, result, durationMs});
@@ -42,7 +43,7 @@
   state.reach.noteReached(endpoint.dataCentre);
   state.monitor.note(endpoint.id, 'answered', atMs);
   state.refusalDelayFor(admission.service).noteServed(atMs);
-  crashes.noteSound(endpoint, fingerprint);
+  crashes.noteHealthy(endpoint, fingerprint);
   if (admission.route.kind !== 'stream') {
     state.monitor.noteDuration(endpoint.id, durationMs);
   }
--- a/packages/gateway/src/relay/load_exchange.test.ts
+++ b/packages/gateway/src/relay/load_exchange.test.ts
@@ -4,7 +4,7 @@
 import {LoadView} from '@snipestage/routing/load_view.js';
 import {brandAs, type EndpointId} from '@snipestage/types/ids.js';
 import {GatewayMetrics} from '../gateway_metrics.js';
-import {NoOutput} from '../test_support/no_output.js';
+import {CapturedLog} from '../test_support/captured_log.js';
 import {LoadExchange} from './load_exchange.js';
 import type {LoadReport} from './load_report.js';
 
@@ -19,7 +19,7 @@
   });
   const view = new LoadView({monitor, rateLimits, isShared: () => true});
   const metrics = new GatewayMetrics();
-  const output = new NoOutput();
+  const output = new CapturedLog();
   const {logger} = output;
   const nowMs = () => clock.nowMs;
   const exchange = new LoadExchange({view, metrics, logger, nowMs});
--- a/packages/gateway/src/relay/relay_stream.test.ts
+++ b/packages/gateway/src/relay/relay_stream.test.ts
@@ -8,7 +8,7 @@
 import {pickFreePorts} from '@snipestage/stand_ins/launch/free_ports.js';
 import {brandAs, type InstanceId} from '@snipestage/types/ids.js';
 import {MemoryPlatform} from '../test_support/memory_platform.js';
-import {NoOutput} from '../test_support/no_output.js';
+import {CapturedLog} from '../test_support/captured_log.js';
 import type {LoadReport} from './load_report.js';
 import {RelayClient} from './relay_client.js';
 import {RELAY_SERVICE} from './relay_messages.js';
@@ -29,7 +29,7 @@
     shared: new TableCopy(),
   };
   copies.endpoints.replace([], 3);
-  const {logger} = new NoOutput();
+  const {logger} = new CapturedLog();
   const platform = new MemoryPlatform();
   const writes = new WriteBatcher(platform);
   const reports: LoadReport[] = [];
--- a/packages/gateway/src/relay/relays.test.ts
+++ b/packages/gateway/src/relay/relays.test.ts
@@ -10,7 +10,7 @@
 } from '@snipestage/types/ids.js';
 import {GatewayMetrics} from '../gateway_metrics.js';
 import {MemoryPlatform} from '../test_support/memory_platform.js';
-import {NoOutput} from '../test_support/no_output.js';
+import {CapturedLog} from '../test_support/captured_log.js';
 import {Relays} from './relays.js';
 import {readSlot} from './slot_rows.js';
 
@@ -63,7 +63,7 @@
   }
 
   private make(instance: string, address: string): Relays {
-    const {logger} = new NoOutput();
+    const {logger} = new CapturedLog();
     return new Relays({
       instance: brandAs<InstanceId>(instance),
       dataCentre: brandAs<DataCentreId>('akl-a'),
--- a/packages/gateway/src/relay/write_batcher.test.ts
+++ b/packages/gateway/src/relay/write_batcher.test.ts
@@ -49,7 +49,7 @@
 
 test('a writer gets a failure when its row may be lost', async t => {
   const platform = new CountedPlatform();
-  platform.losses.push('lose_answer');
+  platform.nextFaults.push('lose_answer');
   const batcher = new WriteBatcher(platform);
   t.false(await batcher.add(rowOf('unsure'), () => true));
 });
--- a/packages/gateway/src/request_handler.ts
+++ b/packages/gateway/src/request_handler.ts
@@ -1,4 +1,4 @@
-/** Takes a caller's request from its head to its final answer. */
+/** Handles a caller's request from its head to its final answer. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {fingerprintOf} from '@snipestage/entry/identify/fingerprint.js';
@@ -12,24 +12,25 @@
 import type {ExchangeContext} from './exchange_context.js';
 import type {CallerRequest} from './pass_through_protocol.js';
 
-/** What a {@link RequestHandler} is made from. */
+/** Options of {@link RequestHandler}; default in the brackets. */
 export interface RequestHandlerOptions extends ExchangeContext {
   readonly shutdown: Shutdown;
+  /** At least 0 and below 1 (`Math.random`). */
   readonly random?: () => number;
 }
 
-/** A caller that names no time is given what its route allows. */
+/** For a caller that states no timeout; its route's timeout applies. */
 const NO_LIMIT_MS = Number.POSITIVE_INFINITY;
 const PAYLOAD_TOO_LARGE = 413;
 const UNAVAILABLE = 503;
-/** Advice where nothing is known of the service: a start takes about that. */
+/** Without a configuration: about the time that an instance's start takes. */
 const DEFAULT_RETRY_AFTER_MS = 500;
-/** Nothing to wait for where another instance runs. */
-const ELSEWHERE_MS = 0;
-/** No account: a public route. */
-const ANYONE = '' as ClientAccountId;
+/** While this instance stops, another one can take the request at once. */
+const RETRY_ELSEWHERE_AFTER_MS = 0;
+/** For fingerprints of requests without an account, on public routes. */
+const NO_ACCOUNT = '' as ClientAccountId;
 
-/** Keeps count of the requests in progress. */
+/** Handles requests and counts those in progress. */
 export class RequestHandler {
   readonly connections = new CallerConnections();
   private count = 0;
@@ -41,17 +42,17 @@
   }
 
   /**
-   * Requests whose callers don't have their final answer yet. Given to a
-   * connection is not enough: with a slow caller most of an answer may still
-   * wait here, and would be cut if the instance ended.
+   * Requests whose final answer hasn't been handed to the kernel yet. An answer
+   * that was written to its connection still counts: with a slow caller most of
+   * it may be buffered here, and would be cut off if the process ended.
    */
   get inProgress(): number {
     return this.count;
   }
 
   /**
-   * Ends what is in progress with its final answer, since the instance ends. A
-   * connection that closes without one leaves its caller to guess whether the
+   * Ends all requests in progress with a final answer, since the instance ends.
+   * If the connection closed without one, the caller couldn't know whether its
    * request was read.
    */
   giveUpAll(): void {
@@ -67,7 +68,7 @@
     const {shutdown} = this.options;
     const writer = new AnswerWriter(
       response,
-      // Whatever waits behind an answer that closes is lost with its connection.
+      // Pipelined answers behind one that closes the connection would be lost.
       () => shutdown.isStopping && this.connections.isLastAnswer(request),
       () => exchange?.cancel(),
     );
@@ -75,7 +76,7 @@
     const line = this.describeArrival(request, arrivedAtMs);
     this.connections.followAnswer(request, response, () => {
       this.count -= 1;
-      writer.noteGone();
+      writer.noteDisconnected();
     });
     try {
       exchange = await this.prepare(request, writer, arrivedAtMs, line);
@@ -101,8 +102,8 @@
   }
 
   /**
-   * While the instance stops, the line says how late the request came and on
-   * what kind of connection.
+   * Log fields of a request that arrives while the instance stops: how long
+   * after the signal, and on what kind of connection.
    */
   private describeArrival(
     request: IncomingMessage,
@@ -118,7 +119,7 @@
     };
   }
 
-  /** @returns undefined when the request has its answer already. */
+  /** @returns undefined when the request was refused or its caller left. */
   private async prepare(
     request: IncomingMessage,
     writer: AnswerWriter,
@@ -159,10 +160,13 @@
       line.reason = 'caller_left';
       return undefined;
     }
-    const endsAtMs = arrivedAtMs + patienceMs(caller, admission);
+    const endsAtMs = arrivedAtMs + timeLimitMs(caller, admission);
     if (!this.mayTake(admission, endsAtMs)) {
       line.reason = 'stopping';
-      writer.fail(UNAVAILABLE, protocol.composeRetryAfter(ELSEWHERE_MS));
+      writer.fail(
+        UNAVAILABLE,
+        protocol.composeRetryAfter(RETRY_ELSEWHERE_AFTER_MS),
+      );
       return undefined;
     }
     const fingerprint = this.fingerprint(request, admission, body);
@@ -201,14 +205,14 @@
     return shutdown.mayTake({nowMs: nowMs(), endsAtMs, usualMs});
   }
 
-  /** Requests without a body say too little to be known again. */
+  /** Undefined without a body: such requests are too alike to be recognized. */
   private fingerprint(
     request: IncomingMessage,
     admission: Admission,
     body: Buffer | undefined,
   ): Fingerprint | undefined {
     if (body === undefined || body.length === 0) return undefined;
-    const account = admission.clientAccount ?? ANYONE;
+    const account = admission.clientAccount ?? NO_ACCOUNT;
     return fingerprintOf(account, request.url ?? '/', body);
   }
 
@@ -247,6 +251,6 @@
   }
 }
 
-function patienceMs(caller: CallerRequest, {route}: Admission): number {
+function timeLimitMs(caller: CallerRequest, {route}: Admission): number {
   return Math.min(caller.waitsForMs ?? NO_LIMIT_MS, route.timeoutMs);
 }
--- a/packages/gateway/src/routing_state.ts
+++ b/packages/gateway/src/routing_state.ts
@@ -1,4 +1,4 @@
-/** What an instance knows and believes, shared by its tasks. */
+/** An instance's known and estimated state, shared by its tasks. */
 
 import {SuspectTable} from '@snipestage/policy/suspects.js';
 import {AgreedDemand} from '@snipestage/routing/agreed_demand.js';
@@ -28,31 +28,38 @@
 import type {EndpointId, ServiceId} from '@snipestage/types/ids.js';
 import type {RetrySettings} from './gateway_settings.js';
 
-/** About as long as a burst; over all instances the figures are steady. */
+/**
+ * About the length of a burst. Summed over all instances, demand is steady
+ * enough at this half-life.
+ */
 const PUBLISHED_DEMAND_HALF_LIFE_MS = 5000;
 
-/** Long enough for some dozen requests, short beside a burst of seconds. */
+/**
+ * Covers about a dozen requests, and is short compared with a burst of seconds.
+ */
 const RECENT_DEMAND_HALF_LIFE_MS = 1500;
 
-/** Why a request was offered to no endpoint. */
+/** Why no endpoint could be chosen for a request. */
 export interface NoEndpoint {
   /**
-   * - `no_endpoint`: none is listed.
-   * - `evacuated`: all that are listed are in evacuated data centres.
-   * - `warming_up`: all are cold and get what they bear already.
-   * - `rate_limited`: all get what they bear already, and some have a rate limit.
+   * - `no_endpoint`: none is serving, and none is in an evacuated data centre.
+   * - `evacuated`: none is serving, and some are in evacuated data centres.
+   * - `warming_up`: all are cold and already get the requests that they can
+   *   take.
+   * - `rate_limited`: all already get the requests that they can take, and some
+   *   have a rate limit.
    */
   readonly reason: 'no_endpoint' | 'evacuated' | 'warming_up' | 'rate_limited';
-  /** When the first may take requests again, if that is known; else 0. */
+  /** Time until the first one may take requests again; 0 if not known. */
   readonly retryAfterMs: number;
 }
 
-/** Made anew with each process. */
+/** State of one process; not persisted. */
 export class RoutingState {
   /** Undefined until the first configuration is known. */
   table: RouteTable | undefined;
   readonly directory = new EndpointDirectory();
-  /** As the holder of the duties counted them; undefined until it is known. */
+  /** Number of instances, published by one of them; undefined until known. */
   instances: number | undefined;
   readonly monitor = new EndpointMonitor();
   readonly rateLimits = new EndpointRateLimits({
@@ -65,11 +72,11 @@
   });
   readonly reach = new DataCentreReach();
   readonly demand = new DemandMeter();
-  /** Shorter-lived: it is added up over all instances. */
+  /** Published, and summed over all instances; hence the shorter half-life. */
   readonly demandToPublish = new DemandMeter({
     halfLifeMs: PUBLISHED_DEMAND_HALF_LIFE_MS,
   });
-  /** Shows a burst while it lasts. */
+  /** Follows a burst while it lasts. */
   readonly recentDemand = new DemandMeter({
     halfLifeMs: RECENT_DEMAND_HALF_LIFE_MS,
   });
@@ -93,15 +100,15 @@
       tolerance,
     });
     const {monitor, reach, warmup, rateLimits} = this;
-    const beliefs = {monitor, reach, warmup, rateLimits};
+    const estimates = {monitor, reach, warmup, rateLimits};
     const {agreedDemand: demand, recentDemand: recent} = this;
-    this.plainPlacement = new LeastLoadedPlacement(beliefs);
-    this.promptPlacement = new PromptPlacement({...beliefs, demand, recent});
+    this.plainPlacement = new LeastLoadedPlacement(estimates);
+    this.promptPlacement = new PromptPlacement({...estimates, demand, recent});
   }
 
   /**
-   * Loads of plain services are not shared: they answer within tens of
-   * milliseconds, before a report arrives.
+   * Whether loads of an endpoint are shared. Those of plain services aren't:
+   * such endpoints answer within tens of milliseconds, before a report arrives.
    */
   private isEngine(id: EndpointId): boolean {
     const service = this.directory.find(id)?.service;
@@ -113,7 +120,7 @@
   }
 
   /** Drops state of removed endpoints. */
-  forgetUnlisted(): void {
+  evictUnlisted(): void {
     const listed = new Set(this.directory.readAll().map(({id}) => id));
     this.monitor.retain(listed);
     this.warmup.retain(listed);
@@ -121,7 +128,7 @@
     this.loads.prune();
   }
 
-  /** A request arrived. */
+  /** Counts a request that arrived. */
   countDemand(
     service: ServiceId,
     route: Route,
@@ -137,7 +144,7 @@
     }
   }
 
-  /** What this instance sees of each engine service's routes. */
+  /** Demand of each engine service's routes as seen by this instance. */
   readDemands(nowMs: number): Record<string, readonly RouteDemand[]> {
     const services = this.demandToPublish
       .listServices()
@@ -176,7 +183,7 @@
   }
 
   /** Why no endpoint of a service could be chosen. */
-  explainNone(service: ServiceId, nowMs: number): NoEndpoint {
+  explainNoEndpoint(service: ServiceId, nowMs: number): NoEndpoint {
     const serving = this.directory.findServing(service, nowMs);
     if (serving.length > 0) {
       const waits = serving.map(({id}) =>
@@ -200,7 +207,7 @@
     return {reason: isEvacuated ? 'evacuated' : 'no_endpoint', retryAfterMs: 0};
   }
 
-  /** What is known of each endpoint, for the dump of state. */
+  /** Known and estimated state of each endpoint, for the dump of state. */
   describeEndpoints(nowMs: number): readonly object[] {
     const {directory, monitor} = this;
     return directory.readAll().map(endpoint => ({
@@ -214,7 +221,10 @@
     }));
   }
 
-  /** New settings; what was spent in the window before is forgotten. */
+  /**
+   * Applies new settings; if ratio, window or slack changed, attempts spent
+   * earlier in the window are forgotten.
+   */
   changeRetry(retry: RetrySettings): void {
     const isSame =
       retry.ratio === this.retry.ratio &&
--- a/packages/gateway/src/shared_facts.test.ts
+++ b/packages/gateway/src/shared_facts.test.ts
@@ -9,7 +9,7 @@
 import type {RouteId} from '@snipestage/routing/route.js';
 import {decodeFact, SharedFacts} from './shared_facts.js';
 import {MemoryPlatform} from './test_support/memory_platform.js';
-import {NoOutput} from './test_support/no_output.js';
+import {CapturedLog} from './test_support/captured_log.js';
 
 function written(workPerS: number) {
   const demand: RouteDemand = {
@@ -30,7 +30,7 @@
 
 test('demand of all instances is summed, and published only when it changes', async t => {
   const platform = new MemoryPlatform();
-  const {logger} = new NoOutput();
+  const {logger} = new CapturedLog();
   const facts = new SharedFacts({platform, logger});
   await facts.publishTotals([written(10), written(30)]);
   const fact = read(platform, 'demand/repair');
@@ -47,7 +47,7 @@
   // Dozens of instances start long before the first request. While their number
   // is unknown, each competes for the lease and follows the store directly.
   const platform = new MemoryPlatform();
-  const facts = new SharedFacts({platform, logger: new NoOutput().logger});
+  const facts = new SharedFacts({platform, logger: new CapturedLog().logger});
   const idle = {counts: {}, isFinal: true, demands: {}};
   void facts.publishTotals([idle, idle, idle]);
   t.deepEqual(read(platform, 'instances'), {kind: 'instances', count: 3});
@@ -58,7 +58,7 @@
   // arrives at a different instance each time: no instance alone sees more than
   // one crash.
   const platform = new MemoryPlatform();
-  const facts = new SharedFacts({platform, logger: new NoOutput().logger});
+  const facts = new SharedFacts({platform, logger: new CapturedLog().logger});
   const crash = {
     id: 'a/1/1',
     endpoint: brandAs<EndpointId>('e'),
--- a/packages/gateway/src/silence_limits.ts
+++ b/packages/gateway/src/silence_limits.ts
@@ -1,22 +1,29 @@
-/** How long an endpoint may be silent before another is asked. */
+/** How long an endpoint may be silent before another one is tried. */
 
 import type {Route} from '@snipestage/routing/route.js';
 
-/** Before the first sign of an answer, and between events. */
+/**
+ * Limits until the first event, or the end of an answer without events, and
+ * between events.
+ */
 export interface SilenceLimits {
   readonly firstMs: number;
   readonly nextMs: number;
 }
 
-/** An answer twice as late as aimed at is worth another endpoint's try. */
-const FIRST_IN_TARGETS = 2;
-/** But half of the time has to be left for that try. */
-const SHARE_OF_TIME_LEFT = 0.5;
-/** Pauses grow several-fold while long prompts are read; this is beyond it. */
-const NEXT_IN_PAUSES = 5;
-const DEFAULT_PAUSE_MS = 1000;
+/** An answer that takes twice its target is worth a try of another endpoint. */
+const FIRST_LIMIT_TARGET_FACTOR = 2;
+/** At least half of the time left has to remain for that try. */
+const FIRST_LIMIT_TIME_LEFT_SHARE = 0.5;
+/**
+ * Pauses grow several-fold while an engine reads long prompts, but not so far.
+ */
+const NEXT_LIMIT_PAUSE_FACTOR = 5;
+const DEFAULT_PAUSE_TARGET_MS = 1000;
 
 /**
+ * Computes the limits of an attempt with this much time left.
+ *
  * @example
  * const {firstMs} = limitsOnSilence(route, timeLeftMs);
  */
@@ -26,9 +33,11 @@
 ): SilenceLimits {
   return {
     firstMs: Math.min(
-      FIRST_IN_TARGETS * route.latencyTargetMs,
-      SHARE_OF_TIME_LEFT * timeLeftMs,
+      FIRST_LIMIT_TARGET_FACTOR * route.latencyTargetMs,
+      FIRST_LIMIT_TIME_LEFT_SHARE * timeLeftMs,
     ),
-    nextMs: NEXT_IN_PAUSES * (route.pauseTargetMs ?? DEFAULT_PAUSE_MS),
+    nextMs:
+      NEXT_LIMIT_PAUSE_FACTOR *
+      (route.pauseTargetMs ?? DEFAULT_PAUSE_TARGET_MS),
   };
 }
--- a/packages/gateway/src/silence_watch.ts
+++ b/packages/gateway/src/silence_watch.ts
@@ -1,18 +1,18 @@
-/** Times the silence of an endpoint. */
+/** Timer for the silence of an endpoint. */
 
 import type {SilenceLimits} from './silence_limits.js';
 
-/** Times the silence before the first event and between events. */
+/** Calls back when an endpoint exceeds its {@link SilenceLimits}. */
 export class SilenceWatch {
   private timer: NodeJS.Timeout | undefined;
-  /** Whether the attempt was ended for it. */
+  /** Whether the attempt was cancelled because of silence. */
   hasFired = false;
-  /** Whether the endpoint has been silent for longer than it may be. */
+  /** Whether the current silence has exceeded its limit. */
   isSilent = false;
 
   constructor(
     private readonly limits: SilenceLimits,
-    /** @returns whether the attempt was ended. */
+    /** @returns whether the attempt was cancelled. */
     private readonly onSilent: () => boolean,
   ) {
     this.arm(limits.firstMs);
--- a/packages/gateway/src/state_follower.ts
+++ b/packages/gateway/src/state_follower.ts
@@ -167,7 +167,7 @@
       return change.kind === 'listed' ? [change.endpoint] : [];
     });
     this.options.state.directory.replace(endpoints, this.options.nowMs());
-    this.options.state.forgetUnlisted();
+    this.options.state.evictUnlisted();
     this.noteWarmups(endpoints);
     this.hasEndpoints = true;
     this.options.logger.info('endpoints_read', {count: endpoints.length});
@@ -191,7 +191,7 @@
       }
     }
     this.options.state.directory.apply(changes, this.options.nowMs());
-    this.options.state.forgetUnlisted();
+    this.options.state.evictUnlisted();
     this.noteWarmups(
       changes.flatMap(change =>
         change.kind === 'listed' ? [change.endpoint] : [],
@@ -220,7 +220,7 @@
     const facts = rows.map(decodeFact).filter(fact => fact !== undefined);
     for (const fact of facts) {
       if (fact.kind === 'crash') {
-        this.options.crashes.learn([fact.crash]);
+        this.options.crashes.mergePublished([fact.crash]);
         continue;
       }
       if (fact.kind === 'instances') {
--- a/packages/gateway/src/stop.test.ts
+++ b/packages/gateway/src/stop.test.ts
@@ -34,7 +34,7 @@
   };
 }
 
-/** A request as it goes out on a connection of the test's own. */
+/** A request as raw text, for a connection that the test itself opens. */
 function requestBytes(id: string): string {
   const lines = Object.entries(headersOf(id)).map(
     ([name, value]) => `${name}: ${value}`,
@@ -42,7 +42,7 @@
   return ['GET /x HTTP/1.1', ...lines, '\r\n'].join('\r\n');
 }
 
-/** Answers in one piece. */
+/** An endpoint that sends its complete answer after a delay. */
 function answersAfter(delayMs: number): TestEndpoint {
   return new TestEndpoint((response, id) => {
     setTimeout(() => {
@@ -56,10 +56,10 @@
   return new Promise(done => setTimeout(done, delayMs));
 }
 
-test('an instance that still works on its last requests takes no new connections', async t => {
-  // A long answer keeps an instance that was told to stop from ending. A caller
-  // that opens a connection in its last second would see it closed under its
-  // request, with an unknown outcome.
+test('an instance that finishes its last requests accepts no new connections', async t => {
+  // A long answer delays the end of a stopping instance. A connection opened in
+  // its last second would be closed during its request, with an unknown
+  // outcome.
   const endpoint = answersAfter(3000);
   const {gateway, callers} = await startWithEndpoint(endpoint);
   t.teardown(() => endpoint.close());
@@ -72,9 +72,9 @@
   await stopped;
 });
 
-test('the log tells how late in a stop a request came and on what connection', async t => {
-  // A request is lost in a stop. Whether the balancer brought it on a new
-  // connection or its caller had kept one, its line has to tell.
+test('the log shows how late in a stop a request came and on what connection', async t => {
+  // When a stop loses a request, its log line has to show whether it came on a
+  // new connection or on one that its caller had kept.
   const endpoint = answersAfter(0);
   const {gateway, callers, lines} = await startWithEndpoint(endpoint);
   t.teardown(() => endpoint.close());
@@ -94,12 +94,12 @@
 });
 
 for (const lateMs of [500, LATE_IN_A_STOP_MS]) {
-  test(`a request on a connection that a stream kept is not taken ${lateMs} ms into a stop`, async t => {
-    // A stream whose head went out before the signal has not told its caller that
-    // the connection closes. The caller sends its next request the moment the
-    // stream ends, seconds after the signal. Seen: the instance passed it on and
-    // closed the connection under it when the grace time was over; a booking may
-    // have run or not.
+  test(`a request on a connection kept open by a stream is not accepted ${lateMs} ms into a stop`, async t => {
+    // The head of a stream sent before the signal doesn't announce that the
+    // connection closes, so its caller sends the next request when the stream
+    // ends, seconds after the signal. If the instance forwarded it, the grace
+    // time could end before the answer: the connection would close, with an
+    // unknown outcome.
     let endStream: () => void = () => undefined;
     const endpoint = new TestEndpoint((response, id) => {
       if (id === 'last') setTimeout(() => response.destroy(), 3000);
@@ -137,27 +137,27 @@
   });
 }
 
-test('a connection that rests is closed once the balancer has noticed a stop', async t => {
-  // Its caller would take it for good and send the next request on it.
+test('an idle connection is closed once the balancer has noticed a stop', async t => {
+  // Its caller would regard it as usable and send the next request on it.
   const endpoint = answersAfter(3000);
   const {gateway, callers} = await startWithEndpoint(endpoint);
   t.teardown(() => endpoint.close());
-  const resting = net.connect(callers, '127.0.0.1');
-  resting.write('GET /x HTTP/1.1\r\nHost: nobody.example\r\n\r\n');
-  await once(resting, 'data');
+  const idle = net.connect(callers, '127.0.0.1');
+  idle.write('GET /x HTTP/1.1\r\nHost: nobody.example\r\n\r\n');
+  await once(idle, 'data');
   const last = get(callers, undefined, headersOf('last'));
   await waitUntil(() => endpoint.begun.length > 0);
   const stopped = gateway.stop();
-  await once(resting, 'close');
+  await once(idle, 'close');
   t.is(await Promise.race([last, 'still running']), 'still running');
   t.is((await last).statusCode, 200);
   await stopped;
 });
 
-test('requests sent one behind the other all get their answers in a stop', async t => {
-  // A caller sends the next requests without waiting for the answers before.
-  // Were the first answer to close the connection, or the second taken for
-  // resting, the rest would run for a caller that never hears of it.
+test('pipelined requests all get their answers in a stop', async t => {
+  // If the first answer closed the connection, or the connection were regarded
+  // as idle during the second request, requests would run whose answers never
+  // reach their caller.
   const endpoint = new TestEndpoint((response, id) => {
     const delayMs = {first: 500, second: 2700}[id] ?? 0;
     setTimeout(() => {
@@ -177,10 +177,10 @@
   t.regex(received, /answer to first.*answer to second$/s);
 });
 
-test('a caller that leaves with requests one behind the other holds up no stop', async t => {
-  // Answers that wait behind another one never close if their connection goes.
-  // Seen: each counted as in progress for good, and every later stop took all
-  // of its grace time.
+test('a caller that disconnects with pipelined requests does not delay a stop', async t => {
+  // Answers that wait behind another one emit no 'close' if their connection
+  // closes. If each counted as in progress for good, every later stop would
+  // take all of its grace time.
   const endpoint = answersAfter(300);
   const {gateway, callers, lines} = await startWithEndpoint(endpoint);
   t.teardown(() => endpoint.close());
@@ -200,11 +200,10 @@
   t.deepEqual(statuses, [0, 0]);
 });
 
-test('a first request that comes late in a stop is refused truthfully and at once', async t => {
+test('a first request that comes late in a stop is refused at once as not run', async t => {
   // A caller opens a connection ahead of need and sends its first request much
-  // later, when the instance has been told to stop meanwhile. Seen: the request
-  // was passed on and its connection closed under it when the grace time was
-  // over.
+  // later, while the instance is stopping. If the request were forwarded, its
+  // connection would close at the end of the grace time without an answer.
   const endpoint = new TestEndpoint((response, id) => {
     if (id === 'last') setTimeout(() => response.destroy(), 3000);
   });
@@ -227,9 +226,9 @@
   await Promise.all([last, stopped]);
 });
 
-test('a request that surely ends within the grace time is still taken', async t => {
-  // Late in a stop a caller with little patience sends a request on its open
-  // connection. It can have its answer; a refusal would cost it a second way.
+test('a request that certainly ends within the grace time is still accepted', async t => {
+  // Late in a stop a caller sends a request with a short timeout on its open
+  // connection. It can be answered; a refusal would cost another round trip.
   const endpoint = new TestEndpoint((response, id) => {
     const delayMs = id === 'last' ? 3000 : 20;
     setTimeout(() => {
@@ -253,10 +252,10 @@
   await stopped;
 });
 
-test('what has no answer at the end of the grace time gets a final one', async t => {
-  // An endpoint hangs on the last request of an instance that stops. Seen: the
-  // connection was closed without a word, and the log read as if the caller had
-  // left.
+test('requests without an answer at the end of the grace time get a final one', async t => {
+  // An endpoint hangs on the last request of a stopping instance. The
+  // connection must not close without an answer, and the log must not read as
+  // if the caller had disconnected.
   const endpoint = new TestEndpoint(() => undefined);
   const {gateway, callers, lines} = await startWithEndpoint(endpoint);
   t.teardown(() => endpoint.close());
@@ -272,10 +271,10 @@
   t.like(line, {status: 502, reason: 'grace_time_over'});
 });
 
-test('an answer that is on its way to a slow caller is not cut', async t => {
-  // A caller on a weak link reads slowly. Seen: with nothing else to do the
-  // instance took the answer for given once the endpoint had sent it all, and
-  // closed the connection in the middle of it.
+test('an answer in transit to a slow caller is not cut off', async t => {
+  // A caller on a weak link reads slowly. If the answer counted as sent once
+  // the endpoint had sent it all, an instance with nothing else in progress
+  // would close the connection in the middle of it.
   const whole = Buffer.alloc(24 * 1024 * 1024, 'x');
   const endpoint = new TestEndpoint((response, id) => {
     response.writeHead(200, {'X-Request-Id': id, 'X-Signature': 'proof'});
@@ -297,10 +296,9 @@
   t.true(receivedBytes > whole.length, String(receivedBytes));
 });
 
-test('a second signal does not cut what is in progress', async t => {
-  // Whoever replaces instances signals one again that takes its time. Seen: the
-  // second stop was over at once, and the process ended with it in the middle
-  // of its last answers.
+test('a second signal does not cut off requests in progress', async t => {
+  // An instance that stops slowly is signalled again. If the second stop
+  // resolved at once, the process would end in the middle of its last answers.
   let hasAnswered = false;
   const endpoint = new TestEndpoint((response, id) => {
     setTimeout(() => {
--- a/packages/gateway/src/table_follower.test.ts
+++ b/packages/gateway/src/table_follower.test.ts
@@ -5,7 +5,7 @@
   type FollowedRow,
   type TableReading,
 } from './table_follower.js';
-import {NoOutput} from './test_support/no_output.js';
+import {CapturedLog} from './test_support/captured_log.js';
 
 /** Returns prepared readings one after the other. */
 class ScriptedTable extends FollowedTable {
@@ -43,7 +43,7 @@
   const notifications: string[] = [];
   const keysOf = (list: readonly FollowedRow[]) =>
     list.map(({key}) => key).join(',');
-  const output = new NoOutput();
+  const output = new CapturedLog();
   const follower = new TableFollower({
     table,
     pace: () => ({waitMs: 1000, gatherMs, initialDelayMs}),
--- a/packages/gateway/src/test_support/no_output.ts
+++ b/packages/gateway/src/test_support/captured_log.ts
@@ -1,8 +1,8 @@
-/** A logger that keeps its lines, for tests. */
+/** A logger that keeps its lines in memory, for tests. */
 
 import {Logger} from '@snipestage/log/logger.js';
 
-export class NoOutput {
+export class CapturedLog {
   readonly lines: string[] = [];
   readonly logger = new Logger({
     component: 'test',
--- a/packages/gateway/src/test_support/memory_platform.ts
+++ b/packages/gateway/src/test_support/memory_platform.ts
@@ -1,4 +1,4 @@
-/** A platform in memory whose answers tests can lose. */
+/** An in-memory platform whose answers tests can lose. */
 
 import {
   Platform,
@@ -24,9 +24,13 @@
   readonly rows = new Map<string, Row>();
   readonly reports: UsageReport[] = [];
   readonly orders: EndpointOrder[] = [];
-  /** Answers of the next calls, in place of the true ones. */
-  readonly losses: Array<'lose_answer' | 'away'> = [];
-  /** Results of the next calls of the provider. */
+  /**
+   * Faults of the next calls to tables: `away` has no effect and no answer,
+   * `lose_answer` commits a transaction without an answer. Reads fail with
+   * either.
+   */
+  readonly nextFaults: Array<'lose_answer' | 'away'> = [];
+  /** Results of the next orders and reports, instead of acceptance. */
   readonly refusals: OrderResult[] = [];
   private version = 0;
 
@@ -39,9 +43,9 @@
   }
 
   transact({checks, writes}: TableTransaction): Promise<TransactionResult> {
-    const loss = this.losses.shift();
+    const fault = this.nextFaults.shift();
     const unknown = {kind: 'unknown', reason: 'lost'} as const;
-    if (loss === 'away') return Promise.resolve(unknown);
+    if (fault === 'away') return Promise.resolve(unknown);
     const failed = checks.filter(
       ({key, version}) => (this.rows.get(key)?.version ?? 0) !== version,
     );
@@ -53,7 +57,7 @@
     const {version} = this;
     for (const {key, value} of writes)
       this.rows.set(key, {key, version, value});
-    if (loss === 'lose_answer') return Promise.resolve(unknown);
+    if (fault === 'lose_answer') return Promise.resolve(unknown);
     const versions = writes.map(({key}) => [key, version]);
     return Promise.resolve({
       kind: 'committed',
@@ -70,11 +74,11 @@
   }
 
   orderEndpoints(order: EndpointOrder, guard: SendGuard): Promise<OrderResult> {
-    return this.provide(guard, () => this.orders.push(order));
+    return this.callProvider(guard, () => this.orders.push(order));
   }
 
   reportUsage(report: UsageReport, guard: SendGuard): Promise<ReportResult> {
-    return this.provide(guard, () => this.reports.push(report));
+    return this.callProvider(guard, () => this.reports.push(report));
   }
 
   listInstances(): Promise<ListResult<never>> {
@@ -86,19 +90,23 @@
   }
 
   private read(matches: (key: string) => boolean): Promise<ReadResult> {
-    if (this.losses.shift() !== undefined) {
+    if (this.nextFaults.shift() !== undefined) {
       return Promise.resolve({kind: 'unavailable', reason: 'away'});
     }
     const rows = [...this.rows.values()].filter(({key}) => matches(key));
     return Promise.resolve({kind: 'rows', rows});
   }
 
-  private provide(guard: SendGuard, take: () => void): Promise<OrderResult> {
+  private callProvider(
+    guard: SendGuard,
+    onReceived: () => void,
+  ): Promise<OrderResult> {
     if (!guard.mayStillSend()) {
       return Promise.resolve({kind: 'not_sent', reason: 'the lease has ended'});
     }
     const refusal = this.refusals.shift();
-    if (refusal?.kind !== 'refused' && refusal?.kind !== 'not_sent') take();
+    if (refusal?.kind !== 'refused' && refusal?.kind !== 'not_sent')
+      onReceived();
     return Promise.resolve(refusal ?? {kind: 'accepted'});
   }
 }
--- a/packages/gateway/src/test_support/plain_protocol.ts
+++ b/packages/gateway/src/test_support/plain_protocol.ts
@@ -1,4 +1,4 @@
-/** A protocol of few headers, for tests. */
+/** A protocol with few headers, for tests. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import {brandAs, type RequestId} from '@snipestage/types/ids.js';
--- a/packages/gateway/src/test_support/test_gateway.ts
+++ b/packages/gateway/src/test_support/test_gateway.ts
@@ -1,4 +1,6 @@
-/** A whole gateway on loopback whose tables and endpoints a test writes. */
+/**
+ * A complete gateway on loopback whose tables and endpoints a test controls.
+ */
 
 import http from 'node:http';
 import {BoundedOutput} from '@snipestage/log/bounded_output.js';
@@ -27,10 +29,10 @@
   type TableReading,
 } from '../table_follower.js';
 import {MemoryPlatform} from './memory_platform.js';
-import {NoOutput} from './no_output.js';
+import {CapturedLog} from './captured_log.js';
 import {PlainProtocol} from './plain_protocol.js';
 
-/** Answers may take their time, and it may not be repeated. */
+/** Allows long answers; its requests must not be repeated. */
 export const SLOW_ROUTE: Route = {
   id: brandAs<RouteId>('slow'),
   host: 'slow.example',
@@ -46,7 +48,7 @@
   isResumable: false,
 };
 
-/** A table to which a test adds rows; polls wait until it does. */
+/** A table to which a test adds rows; a poll waits for the next one. */
 class TestTable extends FollowedTable {
   private version = 1;
   private rows: FollowedRow[] = [];
@@ -91,8 +93,8 @@
 const EVACUATION_PREFIX = 'evacuate/';
 
 /**
- * Rows stand for versions `1`, `2`, ..., for evacuations `evacuate/<data centre>`
- * and for endpoints by their address.
+ * Decodes rows by their keys: `1`, `2`, ... are versions of the configuration,
+ * `evacuate/<data centre>` are evacuations, and addresses are endpoints.
  */
 class TestDecoder extends RowDecoder {
   constructor(private readonly routes: readonly Route[]) {
@@ -140,11 +142,11 @@
   }
 }
 
-/** What a test gateway is made from; defaults in the brackets. */
+/** Options of {@link startGateway}; defaults in the brackets. */
 export interface TestGatewayOptions {
-  /** Time that a stop may take (4,000 ms). */
+  /** Grace time of a stop (4,000 ms). */
   readonly graceMs?: number;
-  /** In force with each configuration ({@link SLOW_ROUTE}). */
+  /** Routes of each version of the configuration ({@link SLOW_ROUTE}). */
   readonly routes?: readonly Route[];
 }
 
@@ -160,7 +162,7 @@
   const [callers, readiness] = await pickFreePorts(2);
   const configuration = new TestTable('configuration');
   const endpoints = new TestTable('endpoints');
-  const {logger, lines} = new NoOutput();
+  const {logger, lines} = new CapturedLog();
   const gateway = new Gateway({
     settings: {
       instance: brandAs<InstanceId>('one'),
@@ -192,7 +194,7 @@
   return {gateway, configuration, endpoints, callers, readiness, lines};
 }
 
-/** One call, told once its answer is whole. */
+/** Sends a GET request; resolves once the complete answer was received. */
 export function get(
   port: number,
   agent?: http.Agent,
@@ -211,12 +213,12 @@
   });
 }
 
-/** Looks again until a condition holds. */
+/** Polls until a condition holds. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise(done => setTimeout(done, 10));
 }
 
-/** An endpoint of the gateway's service. */
+/** An endpoint of the gateway's service, with a scripted answer. */
 export class TestEndpoint {
   /** Ids of the requests that it has begun. */
   readonly begun: string[] = [];
--- a/packages/gateway/src/test_support/test_door.ts
+++ b/packages/gateway/src/test_support/test_proxy.ts
@@ -1,9 +1,9 @@
-/** A door on loopback with scripted endpoints behind it, for tests. */
+/** A request handler on loopback with scripted endpoints, for tests. */
 
 import {once} from 'node:events';
 import http from 'node:http';
 import net, {type AddressInfo, type Socket} from 'node:net';
-import {NoOutput} from './no_output.js';
+import {CapturedLog} from './captured_log.js';
 import {
   brandAs,
   type DataCentreId,
@@ -26,10 +26,10 @@
 const SERVICE = brandAs<ServiceId>('service');
 const DATA_CENTRE = brandAs<DataCentreId>('akl-a');
 
-/** What an endpoint does with a request, given the bytes so far. */
+/** Behaviour of an endpoint on each complete request, given as raw text. */
 export type Script = (socket: Socket, request: string) => void;
 
-/** An answer as bytes, with the id and the signature that belong to it. */
+/** An answer as raw text, with the request id and a signature. */
 export function answerBytes(
   id: string,
   options: {
@@ -49,7 +49,7 @@
   return `${lines.join('\r\n')}\r\n\r\n${body}`;
 }
 
-/** The head of an answer whose body is a series of chunks. */
+/** The head of an answer with a chunked body. */
 export function streamHead(id: string): string {
   return [
     'HTTP/1.1 200 OK',
@@ -70,22 +70,25 @@
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** False when the connection broke off before the answer's end. */
+  /** False when the connection closed before the end of the answer. */
   readonly isComplete: boolean;
 }
 
-/** One door; its endpoints see raw bytes and answer with raw bytes. */
-export class TestDoor {
+/**
+ * A server with a {@link RequestHandler} and one route; its endpoints receive
+ * and send raw bytes.
+ */
+export class TestProxy {
   readonly state = new RoutingState({
     ratio: 1,
     windowMs: 10_000,
     slack: 50,
     floor: 10,
   });
-  /** First lines and headers that endpoints received, by endpoint. */
+  /** Requests as endpoints received them, bodies included. */
   readonly received: Array<{endpoint: string; request: string}> = [];
   readonly begun: Admission[] = [];
-  /** Endpoints whose connections were closed by the door. */
+  /** Endpoints of connections that were closed, one entry per connection. */
   readonly closed: string[] = [];
   readonly shutdown = new Shutdown({graceMs: 8000});
   private readonly servers: Array<http.Server | net.Server> = [];
@@ -95,14 +98,14 @@
   static async start(
     route: Partial<Route>,
     scripts: readonly Script[],
-  ): Promise<TestDoor> {
-    const door = new TestDoor();
-    await door.listen();
+  ): Promise<TestProxy> {
+    const proxy = new TestProxy();
+    await proxy.listen();
     for (const [index, script] of scripts.entries()) {
-      await door.addEndpoint(`endpoint-${index}`, script);
+      await proxy.addEndpoint(`endpoint-${index}`, script);
     }
-    door.configure(route);
-    return door;
+    proxy.configure(route);
+    return proxy;
   }
 
   close(): void {
@@ -141,7 +144,7 @@
     });
   }
 
-  /** A call as a caller makes it. */
+  /** Sends a request as a caller does. */
   call(
     id: string,
     options: {
@@ -219,7 +222,7 @@
   }
 
   private async listen(): Promise<void> {
-    const logger = new NoOutput().logger;
+    const logger = new CapturedLog().logger;
     const handler = new RequestHandler({
       state: this.state,
       protocol: new PlainProtocol(),
--- a/packages/gateway/src/usage_reporter.test.ts
+++ b/packages/gateway/src/usage_reporter.test.ts
@@ -8,7 +8,7 @@
 } from '@snipestage/types/ids.js';
 import type {DutyTerm} from './duty_term.js';
 import {MemoryPlatform} from './test_support/memory_platform.js';
-import {NoOutput} from './test_support/no_output.js';
+import {CapturedLog} from './test_support/captured_log.js';
 import {countsKey, partialCountsKey} from './usage_rows.js';
 import {UsageReporter, type UsageReporterOptions} from './usage_reporter.js';
 
@@ -50,7 +50,7 @@
     windowMs: WINDOW_MS,
     dueAfterMs: 10_000,
     nowMs,
-    logger: new NoOutput().logger,
+    logger: new CapturedLog().logger,
     onRows,
   });
 }
--- a/packages/gateway/src/usage_writer.test.ts
+++ b/packages/gateway/src/usage_writer.test.ts
@@ -6,7 +6,7 @@
 } from '@snipestage/routing/usage_windows.js';
 import {brandAs, type ClientAccountId} from '@snipestage/types/ids.js';
 import {MemoryPlatform} from './test_support/memory_platform.js';
-import {NoOutput} from './test_support/no_output.js';
+import {CapturedLog} from './test_support/captured_log.js';
 import {countsKey, partialCountsKey} from './usage_rows.js';
 import {UsageWriter, type UsageWriterOptions} from './usage_writer.js';
 
@@ -25,7 +25,7 @@
   const windows = new UsageWindows(WINDOW_MS);
   windows.count(SHOP, epochMs);
   const platform = new MemoryPlatform();
-  const output = new NoOutput();
+  const output = new CapturedLog();
   const startedAtMs = performance.now();
   const writer = new UsageWriter({
     platform,
@@ -93,7 +93,7 @@
 test('a failed write is logged with its reason', async t => {
   // Guards against counts that are missing without a log line.
   const {platform, writer, output} = makeWriter();
-  platform.losses.push('away');
+  platform.nextFaults.push('away');
   await runFor(writer, SOME_TICKS_MS);
   await writer.stop();
   const lines = output.lines.filter(line => line.includes('usage_not_written'));
