--- a/packages/gateway/src/answers.test.ts
+++ b/packages/gateway/src/answers.test.ts
@@ -366,7 +366,7 @@
   t.teardown(() => proxy.close());
   const {id} = await leaveStream(proxy, 0);
   t.is(proxy.state.monitor.failureShare(id, performance.now()), 0);
-  t.deepEqual(proxy.state.crashes.confirm(id, performance.now()), []);
+  t.deepEqual(proxy.state.crashes.confirmCrash(id, performance.now()), []);
 });
 
 test('a caller that disconnects from a silent endpoint counts against it', async t => {
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -42,7 +42,7 @@
 
   constructor(private readonly options: AttemptOptions) {
     const {context, request, writer, placed} = options;
-    const {protocol, nowMs, connectPatience} = context;
+    const {protocol, nowMs, connectTimeout} = context;
     const timeLeftMs = Math.max(1, Math.floor(request.endsAtMs - nowMs()));
     this.call = new EndpointCall({
       address: placed.endpoint.address,
@@ -58,8 +58,8 @@
         bodyBytes: request.body?.length,
       }),
       body: request.body,
-      connectTimeoutMs: Math.min(connectPatience.timeoutMs, timeLeftMs),
-      onConnected: tookMs => connectPatience.note(tookMs),
+      connectTimeoutMs: Math.min(connectTimeout.timeoutMs, timeLeftMs),
+      onConnected: tookMs => connectTimeout.note(tookMs),
     });
     const limits = limitsOnSilence(request.admission.route, timeLeftMs);
     this.silence = new SilenceWatch(limits, () => this.cancelOnSilence());
@@ -109,17 +109,23 @@
       return {
         kind: 'failed',
         verdict: head.verdict,
-        sign: hasArrived ? 'silent' : 'unreachable',
+        endpointOutcome: hasArrived ? 'silent' : 'unreachable',
         reason: hasArrived ? 'silent' : 'connect_timeout',
         hasArrived,
       };
     }
     const {reason, verdict} = head;
     if (reason === 'cancelled') {
-      return {kind: 'failed', verdict, sign: undefined, reason, hasArrived};
+      return {
+        kind: 'failed',
+        verdict,
+        endpointOutcome: undefined,
+        reason,
+        hasArrived,
+      };
     }
-    const sign = reason === 'broken' ? 'failed' : 'unreachable';
-    return {kind: 'failed', verdict, sign, reason, hasArrived};
+    const endpointOutcome = reason === 'broken' ? 'failed' : 'unreachable';
+    return {kind: 'failed', verdict, endpointOutcome, reason, hasArrived};
   }
 
   private async handleHead(response: IncomingMessage): Promise<AttemptResult> {
@@ -146,12 +152,12 @@
     const body = await readAnswerBody(this.call, response);
     if (head.isNotRun || head.isMisdirected) {
       this.call.cancel();
-      const sign = head.isMisdirected ? 'unreachable' : 'rejected';
+      const endpointOutcome = head.isMisdirected ? 'unreachable' : 'rejected';
       const reason = head.isMisdirected ? 'misdirected' : 'rejected';
       return {
         kind: 'failed',
         verdict: 'not_run',
-        sign,
+        endpointOutcome,
         reason,
         hasArrived: true,
       };
@@ -161,7 +167,7 @@
       return {
         kind: 'failed',
         verdict: 'ran',
-        sign: 'failed',
+        endpointOutcome: 'failed',
         reason: 'foreign_answer',
         hasArrived: true,
       };
@@ -205,13 +211,14 @@
       hasArrived: true,
     } as const;
     const {hasFired, isSilent} = this.silence;
-    if (hasFired) return {...failed, sign: 'silent', reason: 'silent'};
+    if (hasFired)
+      return {...failed, endpointOutcome: 'silent', reason: 'silent'};
     const isLate = context.nowMs() >= request.endsAtMs;
     if (!this.call.isCancelled || isLate) {
-      return {...failed, sign: 'failed', reason: 'broken'};
+      return {...failed, endpointOutcome: 'failed', reason: 'broken'};
     }
-    const sign = isSilent ? 'silent' : undefined;
-    return {...failed, sign, reason: 'cancelled'};
+    const endpointOutcome = isSilent ? 'silent' : undefined;
+    return {...failed, endpointOutcome, reason: 'cancelled'};
   }
 
   private handleWholeAnswer(
@@ -232,7 +239,7 @@
     return {
       kind: 'failed',
       verdict: 'ran',
-      sign: 'failed',
+      endpointOutcome: 'failed',
       reason: `status_${head.status}`,
       hasArrived: true,
       answer: NOT_RUN_STATUSES.has(head.status) ? undefined : answer,
--- a/packages/gateway/src/crash_reporter.ts
+++ b/packages/gateway/src/crash_reporter.ts
@@ -29,7 +29,7 @@
 
   constructor(private readonly options: CrashReporterOptions) {}
 
-  judge(fingerprint: Fingerprint): SuspectDecision {
+  classify(fingerprint: Fingerprint): SuspectDecision {
     return this.options.state.suspects.classify(
       fingerprint,
       this.options.nowMs(),
--- a/packages/gateway/src/exchange_context.ts
+++ b/packages/gateway/src/exchange_context.ts
@@ -24,7 +24,7 @@
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
   readonly nowMs: () => number;
-  readonly connectPatience: ConnectPatience;
+  readonly connectTimeout: ConnectTimeout;
   /** Called when a request began to run; `atMs` is on this instance's clock. */
   readonly onBegun: (admission: Admission, atMs: number) => void;
 }
@@ -51,7 +51,7 @@
   readonly kind: 'failed';
   readonly verdict: Verdict;
   /** What it shows of the endpoint's health; undefined: nothing. */
-  readonly sign: EndpointSign | undefined;
+  readonly endpointOutcome: EndpointOutcome | undefined;
   readonly reason: string;
   /** The endpoint got the request, whether or not it ran it. */
   readonly hasArrived: boolean;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -173,7 +173,7 @@
   }
 
   /** Logs that settings could not be read again; the old ones stay in force. */
-  noteBadSettings(error: unknown): void {
+  noteReloadFailure(error: unknown): void {
     this.options.logger.error('reload_failed', {error: String(error)});
   }
 
@@ -265,7 +265,7 @@
       logger: logger.forComponent('callers'),
       metrics,
       nowMs,
-      connectPatience: new ConnectTimeout(),
+      connectTimeout: new ConnectTimeout(),
       onBegun: ({clientAccount}, atMs) => {
         if (clientAccount === undefined) return;
         this.duties.countUsage(clientAccount, atMs);
--- a/packages/gateway/src/pass_through_protocol.ts
+++ b/packages/gateway/src/pass_through_protocol.ts
@@ -14,7 +14,7 @@
 export interface CallerRequest {
   readonly requestId: RequestId;
   /** The caller's timeout; undefined when it states none. */
-  readonly waitsForMs: number | undefined;
+  readonly callerTimeoutMs: number | undefined;
   readonly key: string | undefined;
   readonly prompt: Prompt | undefined;
   /** The caller resumes a stream after this event. */
--- a/packages/gateway/src/record_outcome.ts
+++ b/packages/gateway/src/record_outcome.ts
@@ -57,10 +57,11 @@
 ): void {
   const {state, crashes, metrics, nowMs} = context;
   const atMs = nowMs();
-  const {reason, verdict, sign} = result;
+  const {reason, verdict, endpointOutcome} = result;
   recordReach(context, endpoint, reason);
   metrics.countAttempt(admission.service, reason);
-  if (sign !== undefined) state.monitor.note(endpoint.id, sign, atMs);
+  if (endpointOutcome !== undefined)
+    state.monitor.note(endpoint.id, endpointOutcome, atMs);
   if (reason === 'unreachable') crashes.noteUnreachable(endpoint);
   if (reason === 'broken' && fingerprint !== undefined) {
     crashes.noteBroken(endpoint, fingerprint);
--- a/packages/gateway/src/request_handler.ts
+++ b/packages/gateway/src/request_handler.ts
@@ -161,7 +161,7 @@
       return undefined;
     }
     const endsAtMs = arrivedAtMs + timeLimitMs(caller, admission);
-    if (!this.mayTake(admission, endsAtMs)) {
+    if (!this.mayAdmit(admission, endsAtMs)) {
       line.reason = 'stopping';
       writer.fail(
         UNAVAILABLE,
@@ -199,10 +199,10 @@
     writer.fail(status, headers);
   }
 
-  private mayTake({route}: Admission, endsAtMs: number): boolean {
+  private mayAdmit({route}: Admission, endsAtMs: number): boolean {
     const {shutdown, state, nowMs} = this.options;
-    const usualMs = state.durations.p90Ms(route.id);
-    return shutdown.mayAdmit({nowMs: nowMs(), endsAtMs, p90Ms: usualMs});
+    const p90Ms = state.durations.p90Ms(route.id);
+    return shutdown.mayAdmit({nowMs: nowMs(), endsAtMs, p90Ms});
   }
 
   /** Undefined without a body: such requests are too alike to be recognized. */
@@ -221,13 +221,10 @@
     writer: AnswerWriter,
   ): boolean {
     if (fingerprint === undefined) return false;
-    const judgement = this.options.crashes.judge(fingerprint);
-    if (judgement.kind !== 'refuse') return false;
+    const decision = this.options.crashes.classify(fingerprint);
+    if (decision.kind !== 'refuse') return false;
     const {protocol} = this.options;
-    writer.fail(
-      UNAVAILABLE,
-      protocol.composeRetryAfter(judgement.retryAfterMs),
-    );
+    writer.fail(UNAVAILABLE, protocol.composeRetryAfter(decision.retryAfterMs));
     return true;
   }
 
@@ -252,5 +249,5 @@
 }
 
 function timeLimitMs(caller: CallerRequest, {route}: Admission): number {
-  return Math.min(caller.waitsForMs ?? NO_LIMIT_MS, route.timeoutMs);
+  return Math.min(caller.callerTimeoutMs ?? NO_LIMIT_MS, route.timeoutMs);
 }
--- a/packages/gateway/src/test_support/plain_protocol.ts
+++ b/packages/gateway/src/test_support/plain_protocol.ts
@@ -15,7 +15,7 @@
     const waits = headers['x-waits-ms'];
     return {
       requestId: brandAs<RequestId>(String(headers['x-request-id'] ?? '')),
-      waitsForMs: waits === undefined ? undefined : Number(waits),
+      callerTimeoutMs: waits === undefined ? undefined : Number(waits),
       key: headers['x-key'] as string | undefined,
       prompt: undefined,
       lastEventId: undefined,
--- a/packages/gateway/src/test_support/test_proxy.ts
+++ b/packages/gateway/src/test_support/test_proxy.ts
@@ -238,7 +238,7 @@
       logger,
       metrics: new GatewayMetrics(),
       nowMs: () => performance.now(),
-      connectPatience: new ConnectTimeout({maxMs: 1000}),
+      connectTimeout: new ConnectTimeout({maxMs: 1000}),
       onBegun: admission => this.begun.push(admission),
       shutdown: this.shutdown,
     });
--- a/packages/routing/src/endpoint_monitor.ts
+++ b/packages/routing/src/endpoint_monitor.ts
@@ -110,17 +110,17 @@
    * @example
    * monitor.note(endpoint.id, 'failed', nowMs);
    */
-  note(id: EndpointId, sign: EndpointOutcome, nowMs: number): void {
+  note(id: EndpointId, outcome: EndpointOutcome, nowMs: number): void {
     const tracked = this.of(id);
     const share = this.failureShare(id, nowMs);
-    const isFailure = sign === 'failed' || sign === 'silent';
-    if (isFailure || sign === 'answered') {
+    const isFailure = outcome === 'failed' || outcome === 'silent';
+    if (isFailure || outcome === 'answered') {
       tracked.failureShare =
         share + OUTCOME_WEIGHT * ((isFailure ? 1 : 0) - share);
       tracked.failureAtMs = nowMs;
     }
-    if (sign === 'rejected') tracked.rejectedAtMs = nowMs;
-    if (sign === 'unreachable') {
+    if (outcome === 'rejected') tracked.rejectedAtMs = nowMs;
+    if (outcome === 'unreachable') {
       const backoffMs = this.firstBackoffMs * 2 ** tracked.unreachableCount;
       tracked.downUntilMs = nowMs + Math.min(this.maxBackoffMs, backoffMs);
       tracked.unreachableCount += 1;
--- a/packages/soak/src/mutations.ts
+++ b/packages/soak/src/mutations.ts
@@ -116,7 +116,7 @@
       // An endpoint that refuses is asked on, and looks idle.
       {
         module: 'routing/dist/endpoint_monitor.js',
-        from: "if (sign === 'rejected')",
+        from: "if (outcome === 'rejected')",
         to: 'if (false)',
       },
     ],
