--- a/packages/peer/src/active_clock.ts
+++ b/packages/peer/src/active_clock.ts
@@ -1,10 +1,10 @@
-/** Time during which this process ran. */
+/** A clock of the time during which this process ran. */
 
-/** What an {@link ActiveClock} is made from. */
+/** Options of {@link ActiveClock}. */
 export interface ActiveClockOptions {
   /** A monotonic clock. */
   readonly readMonotonicMs?: () => number;
-  /** A longer time between two readings was a pause. */
+  /** A longer time between two readings counts as a pause. */
   readonly longestGapMs: number;
 }
 
@@ -12,10 +12,10 @@
  * A monotonic clock that leaves out the time during which the process was
  * frozen.
  *
- * A process that was stopped for ten seconds finds on waking that it has heard
- * from nobody for ten seconds. Without this clock it would hold every other
- * instance dead and tell so; one would see all owners change at once. Here the
- * pause counts as no time at all.
+ * A process that was stopped for ten seconds has received nothing for ten
+ * seconds when it resumes. With an ordinary clock it would hold every other
+ * instance dead and publish that, so that all owners would change at once. On
+ * this clock the whole pause takes no time.
  *
  * @example
  * const clock = new ActiveClock({longestGapMs: 1000});
@@ -41,7 +41,7 @@
     return monotonicMs - this.pausedMs;
   }
 
-  /** All pauses so far. */
+  /** Total of all pauses so far. */
   get totalPausedMs(): number {
     return this.pausedMs;
   }
--- a/packages/peer/src/configuration_spread.test.ts
+++ b/packages/peer/src/configuration_spread.test.ts
@@ -2,7 +2,7 @@
 import test, {type ExecutionContext} from 'ava';
 import {ConfigurationSpread} from './configuration_spread.js';
 import type {PeerNetwork} from './peer_network.js';
-import {SpreadPlan} from './spread_plan.js';
+import {PullPlan} from './pull_plan.js';
 import {
   aliveIn,
   listOf,
@@ -38,7 +38,7 @@
   return {network, spread, applied};
 }
 
-function rising(revisions: readonly number[]): boolean {
+function isRising(revisions: readonly number[]): boolean {
   return revisions.every(
     (revision, n) => n === 0 || revision > revisions[n - 1],
   );
@@ -53,18 +53,19 @@
   for (const node of nodes) {
     await waitUntil('members', () => aliveIn(node.network).length === 6);
   }
-  // Two instances accept in turn; late ones must not undo the newer.
+  // Two instances accept in turn; a revision that arrives late must not replace
+  // a newer one.
   for (let revision = 1; revision <= 20; revision += 1) {
     nodes[revision % 2].spread.push(revision as Revision);
   }
   for (const node of nodes) {
     await waitUntil('revision 20', () => node.spread.inForce === 20);
-    t.true(rising(node.applied));
+    t.true(isRising(node.applied));
   }
 });
 
-// An instance starts while the platform can't be reached. Without its peers it
-// would have no configuration and refuse every caller.
+// An instance starts while the platform can't be reached. Unless it pulls from
+// its peers, it has no configuration and refuses every request.
 test('a new instance takes the highest revision of its peers', async t => {
   const first = await startNode(t, 'akl-a-1');
   const second = await startNode(t, 'akl-a-2');
@@ -77,9 +78,9 @@
   t.deepEqual(late.applied, [7]);
 });
 
-// A peer has a revision in force whose bytes this one can't read, from a newer
-// release. It must keep what it has and go on asking.
-test('what can not be applied changes nothing', async t => {
+// A peer has a revision in force whose payload, of a newer release, this
+// instance can't read. It must keep its configuration and go on pulling.
+test('a configuration that can not be applied changes nothing', async t => {
   let canApply = false;
   let refused = 0;
   const first = await startNode(t, 'akl-a-1');
@@ -95,16 +96,18 @@
   await waitUntil('revision 3', () => Number(second.spread.inForce) === 3);
 });
 
-// The peer that was asked never answers: frozen, or cut off one way.
+// The peer that was pulled from never answers: it is frozen, or cut off one
+// way.
 test('a pull without an answer goes to another peer', t => {
-  const plan = new SpreadPlan(1 as Revision, 1000);
+  const plan = new PullPlan(1 as Revision, 1000);
   const [frozen, other] = ['akl-a-1', 'akl-a-2'] as InstanceId[];
   plan.noteSeen(3 as Revision, frozen, 0);
   plan.noteSeen(2 as Revision, other, 0);
   t.is(plan.next(0)?.from, frozen);
   t.is(plan.next(999), undefined);
   t.deepEqual(plan.next(1000), {from: other, aboveRevision: 1 as Revision});
-  // What it sent could not be applied: it is not asked again at once.
+  // Its configuration could not be applied: it is not pulled from again at
+  // once.
   plan.noteRejected(other, 1000);
   plan.noteSeen(2 as Revision, other, 1500);
   t.is(plan.next(1500), undefined);
--- a/packages/peer/src/configuration_spread.ts
+++ b/packages/peer/src/configuration_spread.ts
@@ -1,25 +1,25 @@
 /**
- * Brings each accepted configuration to all instances. The one that accepted
- * it pushes it to its neighbours; the others see in any frame that a neighbour
- * has a higher revision in force and pull it. An instance that can't reach the
- * platform is brought up to date in the same way.
+ * Distributes each accepted configuration to all instances. The one that
+ * accepted it pushes it to its neighbours; the others see in any frame that the
+ * sender has a higher revision in force, and pull it. An instance that can't
+ * reach the platform is brought up to date in the same way.
  */
 
 import type {InstanceId, Revision} from '@snipestage/types/ids.js';
 import type {PeerNetwork} from './peer_network.js';
-import {SpreadPlan} from './spread_plan.js';
+import {PullPlan} from './pull_plan.js';
 
 const DEFAULT_PULL_TIMEOUT_MS = 1000;
 const CHECKS_PER_TIMEOUT = 2;
 
-/** What a {@link ConfigurationSpread} is made from. */
+/** Options of {@link ConfigurationSpread}. */
 export interface ConfigurationSpreadOptions {
   readonly network: PeerNetwork;
-  /** The configuration in force, if it is that of the revision. */
+  /** The payload of the configuration in force if it has this revision. */
   readonly getPayload: (revision: Revision) => Buffer | undefined;
   /**
-   * Puts it in force. Resolves with false when the bytes are no configuration
-   * that this release understands; they are then asked of another peer.
+   * Puts a configuration in force. Resolves with false when this release can't
+   * read the payload as a configuration; another peer is then pulled from.
    */
   readonly applyPayload: (
     revision: Revision,
@@ -37,10 +37,10 @@
  * spread.noteInForce(revision); // read from the platform
  */
 export class ConfigurationSpread {
-  private readonly plan: SpreadPlan;
+  private readonly plan: PullPlan;
   private readonly pullTimeoutMs: number;
   private readonly readMonotonicMs: () => number;
-  /** One at a time, lest an older one be applied over a newer one. */
+  /** Serializes applying, so that no older one is applied over a newer one. */
   private applying: Promise<void> = Promise.resolve();
   private timer?: NodeJS.Timeout;
   private isStopped = false;
@@ -49,7 +49,7 @@
     const {network, inForce = 0 as Revision} = options;
     this.pullTimeoutMs = options.pullTimeoutMs ?? DEFAULT_PULL_TIMEOUT_MS;
     this.readMonotonicMs = options.readMonotonicMs ?? (() => performance.now());
-    this.plan = new SpreadPlan(inForce, this.pullTimeoutMs);
+    this.plan = new PullPlan(inForce, this.pullTimeoutMs);
     network.setRevision(inForce);
     network.onRevisionSeen((revision, from) => {
       if (!this.plan.isWanted(revision)) return;
@@ -58,7 +58,7 @@
     });
     network.onRecords((record, from) => {
       if (record.kind === 'configuration') {
-        this.take(record.revision, record.payload, from.id);
+        this.receive(record.revision, record.payload, from.id);
       } else if (record.kind === 'configuration_pull') {
         this.answer(from.id, record.aboveRevision);
       }
@@ -70,13 +70,16 @@
     return this.plan.inForce;
   }
 
-  /** Put in force here, from the platform; peers hear of it and pull. */
+  /**
+   * Records a revision put in force here from the platform; peers see it and
+   * pull.
+   */
   noteInForce(revision: Revision): void {
     this.plan.noteApplied(revision);
     this.options.network.setRevision(this.plan.inForce);
   }
 
-  /** Accepted and put in force here: the neighbours get it at once. */
+  /** Sends a revision accepted and in force here to the neighbours at once. */
   push(revision: Revision): void {
     this.noteInForce(revision);
     const payload = this.options.getPayload(revision);
@@ -98,7 +101,7 @@
     this.options.network.send(from, {kind: 'configuration', revision, payload});
   }
 
-  private take(revision: Revision, payload: Buffer, from: InstanceId): void {
+  private receive(revision: Revision, payload: Buffer, from: InstanceId): void {
     this.applying = this.applying.then(async () => {
       if (!this.plan.isWanted(revision) || this.isStopped) return;
       const isApplied = await this.apply(revision, payload);
--- a/packages/peer/src/dialled_link.ts
+++ b/packages/peer/src/dialled_link.ts
@@ -1,4 +1,4 @@
-/** A link that this process opened, on a connection of its own. */
+/** A link that this process opened, on its own connection. */
 
 import {
   makeGenericClientConstructor,
@@ -14,27 +14,29 @@
 import {isListenerProven, proveCaller} from './peer_credentials.js';
 import {PeerLink, type LinkOwner} from './peer_link.js';
 
-/** Largest message either side takes: a whole configuration fits. */
+/** Largest message that either side accepts: a whole configuration fits. */
 export const MAX_MESSAGE_BYTES = 32 * 1024 * 1024;
 
 /**
- * HTTP/2 pings for a socket that no stream speaks for any more. Streams have
- * heartbeats of their own.
+ * Options for HTTP/2 pings, which detect dead sockets that carry no stream any
+ * more. Streams have heartbeats of their own.
  *
  * @example
  * const options = describeKeepalive(settings.heartbeatMs);
  */
 export function describeKeepalive(heartbeatMs: number): ChannelOptions {
   return {
-    'grpc.keepalive_time_ms': heartbeatMs * BEATS_PER_KEEPALIVE,
-    'grpc.keepalive_timeout_ms': heartbeatMs * BEATS_PER_KEEPALIVE_ANSWER,
+    'grpc.keepalive_time_ms': heartbeatMs * KEEPALIVE_INTERVALS,
+    'grpc.keepalive_timeout_ms': heartbeatMs * KEEPALIVE_TIMEOUT_INTERVALS,
   };
 }
 
-const BEATS_PER_KEEPALIVE = 40;
-const BEATS_PER_KEEPALIVE_ANSWER = 4;
+/** Time between two pings, in intervals of `heartbeatMs`. */
+const KEEPALIVE_INTERVALS = 40;
+/** Time allowed for the answer to a ping, in intervals of `heartbeatMs`. */
+const KEEPALIVE_TIMEOUT_INTERVALS = 4;
 
-/** What a {@link DialledLink} is made from. */
+/** Options of {@link DialledLink}. */
 export interface DialOptions {
   readonly owner: LinkOwner;
   readonly address: string;
@@ -43,16 +45,16 @@
   readonly service: ServiceDefinition;
   readonly readNowMs: () => number;
   readonly heartbeatMs: number;
-  /** Called when the listener has proven itself: time to say hello. */
+  /** Called when the listener has proven that it knows the shared secret. */
   readonly onProven: (link: DialledLink) => void;
 }
 
 /**
- * A stream that is to replace a silent one must not land on the same socket:
- * it would be just as silent. grpc-js shares sockets between channels to one
- * address unless told otherwise, hence the local pool and a channel a link.
- * The pings go on after a channel is closed, so that the socket of a silent
- * connection is destroyed instead of waiting for an answer to its goodbye.
+ * A stream that replaces a silent one must not use the same socket, which is
+ * just as silent. By default grpc-js shares sockets between channels to one
+ * address, hence the local pool and one channel per link. Pings continue after
+ * a channel is closed, so that the socket of a silent connection is destroyed
+ * instead of waiting for the other side to confirm the close.
  */
 const CHANNEL_OPTIONS: ChannelOptions = {
   'grpc.use_local_subchannel_pool': 1,
@@ -80,15 +82,15 @@
       ...CHANNEL_OPTIONS,
       ...describeKeepalive(options.heartbeatMs),
     }) as unknown as ExchangeClient;
-    const noteSign = () => (this.lastHeardMs = options.readNowMs());
+    const noteHeard = () => (this.lastHeardMs = options.readNowMs());
     this.client.waitForReady(Infinity, error => {
-      if (error === undefined) noteSign();
+      if (error === undefined) noteHeard();
     });
     const shown = proveCaller(options.sharedSecret);
     this.call = this.client.Exchange(shown);
     this.attach(this.call);
     this.call.on('metadata', (answer: Metadata) => {
-      noteSign();
+      noteHeard();
       if (isListenerProven(options.sharedSecret, shown, answer)) {
         options.onProven(this);
       } else {
--- a/packages/peer/src/frame_codec.ts
+++ b/packages/peer/src/frame_codec.ts
@@ -1,4 +1,4 @@
-/** Turns records and gossip into protobuf messages and back. */
+/** Converts records and gossip to protobuf messages and back. */
 
 import type {
   AttemptId,
@@ -27,7 +27,7 @@
 import type {Record as WireRecord} from './generated/snipestage/peer/Record.js';
 import type {PeerRecord} from './records.js';
 
-/** Who speaks on a stream: told in its first frame. */
+/** Identity of the sender on a stream, sent in its first frame. */
 export interface Hello {
   readonly id: InstanceId;
   readonly incarnation: Incarnation;
@@ -37,7 +37,7 @@
   readonly knownMembers: number;
 }
 
-/** A record for all instances, told by one to the next. */
+/** A record for all instances, which each passes on once. */
 export interface Rumour {
   readonly id: string;
   readonly record: PeerRecord;
@@ -86,7 +86,7 @@
 }
 
 /**
- * Records of a kind that a newer release added are left out.
+ * Omits records of an unknown kind, which a newer release may have added.
  *
  * @example
  * stream.on('data', wire => handle(decodeFrame(wire)));
@@ -179,15 +179,15 @@
   }
 }
 
-/** Presence marks that the loader adds for optional fields. */
-function withoutMarks<T extends object>(wire: T): T {
+/** Removes the presence marks that the loader adds for optional fields. */
+function withoutPresenceMarks<T extends object>(wire: T): T {
   const entries = Object.entries(wire).filter(([key]) => !key.startsWith('_'));
   return Object.fromEntries(entries) as T;
 }
 
 function decodeRecord(wire: WireRecordOutput): PeerRecord | undefined {
   if (wire.ask) {
-    const ask = withoutMarks(wire.ask) as unknown as PermitAsk;
+    const ask = withoutPresenceMarks(wire.ask) as unknown as PermitAsk;
     return {kind: 'ask', ask};
   }
   if (wire.withdraw) {
@@ -199,16 +199,18 @@
     };
   }
   if (wire.release) {
-    const release = withoutMarks(wire.release) as unknown as PermitRelease;
+    const release = withoutPresenceMarks(
+      wire.release,
+    ) as unknown as PermitRelease;
     return {kind: 'release', release};
   }
   if (wire.progress) {
     const {cell, progress} = wire.progress;
-    const told = progress.map(one => ({
+    const decoded = progress.map(one => ({
       attempt: one.attempt as AttemptId,
       outputTokens: one.outputTokens,
     }));
-    return {kind: 'progress', cell: cell as CellId, progress: told};
+    return {kind: 'progress', cell: cell as CellId, progress: decoded};
   }
   if (wire.inUse) {
     const permits = wire.inUse.permits as unknown as PermitInUse[];
@@ -217,7 +219,7 @@
   return decodeDecision(wire) ?? decodeShared(wire);
 }
 
-/** What the owner of a cell says. */
+/** Decodes records that the owner of a cell sends. */
 function decodeDecision(wire: WireRecordOutput): PeerRecord | undefined {
   if (wire.grant) {
     return {kind: 'grant', grant: wire.grant as unknown as PermitGrant};
@@ -233,7 +235,7 @@
   return undefined;
 }
 
-/** What all instances are to know. */
+/** Decodes records about configuration, crashes, usage, and extensions. */
 function decodeShared(wire: WireRecordOutput): PeerRecord | undefined {
   if (wire.configuration) {
     return {
--- a/packages/peer/src/frame_counter.ts
+++ b/packages/peer/src/frame_counter.ts
@@ -3,7 +3,9 @@
 import type {MethodDefinition, ServiceDefinition} from '@grpc/grpc-js';
 import {PeerService} from './peer_service.js';
 
-/** Bytes of protobuf, without what gRPC, HTTP/2 and TCP add. */
+/**
+ * Byte counts are of protobuf, without the overhead of gRPC, HTTP/2 and TCP.
+ */
 export class FrameCounter {
   bytesSent = 0;
   bytesReceived = 0;
@@ -11,7 +13,7 @@
   framesReceived = 0;
 
   /**
-   * The service definition with this counter laid around its codec.
+   * The service definition with a codec that counts.
    *
    * @example
    * server.addService(counter.wrapDefinition(), handlers);
--- a/packages/peer/src/frame_receiver.ts
+++ b/packages/peer/src/frame_receiver.ts
@@ -1,4 +1,4 @@
-/** What comes in: members, revisions, records and rumours. */
+/** Handles received frames: member updates, revisions, records and rumours. */
 
 import type {PeerFrame, Rumour} from './frame_codec.js';
 import type {FrameSender} from './frame_sender.js';
@@ -8,40 +8,42 @@
 import type {PeerIdentity} from './records.js';
 import type {RumourLog} from './rumour_log.js';
 
-/** What a {@link FrameReceiver} is made from. */
+/** Options of {@link FrameReceiver}. */
 export interface FrameReceiverOptions {
   readonly membership: Membership;
   readonly handlers: NetworkHandlers;
   readonly rumours: RumourLog;
   readonly sender: FrameSender;
   readonly readNowMs: () => number;
-  /** Tells what the frame has changed among the members. */
+  /** Publishes the member changes that a frame has caused. */
   readonly publishChanges: () => void;
 }
 
-/** Passes on what others should hear. */
+/** Calls the handlers, and forwards rumours and urgent member updates. */
 export class FrameReceiver {
   constructor(private readonly options: FrameReceiverOptions) {}
 
-  /** Takes in a frame of an instance. */
-  take(contact: PeerContact, from: PeerIdentity, frame: PeerFrame): void {
+  /** Handles a frame from an instance. */
+  receive(contact: PeerContact, from: PeerIdentity, frame: PeerFrame): void {
     const {membership, handlers, sender, readNowMs} = this.options;
     const nowMs = readNowMs();
-    membership.hear(from, frame.revision, nowMs);
+    membership.noteFrame(from, frame.revision, nowMs);
     membership.merge(frame.members, from.id, nowMs);
     this.options.publishChanges();
-    // A life that another one has replaced must not be answered.
+    // Records of an incarnation that another has replaced must not be answered.
     const member = membership.get(from.id);
     if (member?.incarnation !== from.incarnation) return;
-    handlers.tellRevision(frame.revision, from.id);
-    for (const record of frame.records) handlers.tellRecord(record, from);
-    this.takeRumours(contact, from, frame.rumours ?? []);
-    const hasNews = [...sender.linked()].some(({id}) => membership.hasNews(id));
-    if (hasNews) sender.schedule(true);
+    handlers.notifyRevision(frame.revision, from.id);
+    for (const record of frame.records) handlers.notifyRecord(record, from);
+    this.receiveRumours(contact, from, frame.rumours ?? []);
+    const hasUrgentUpdates = [...sender.linked()].some(({id}) =>
+      membership.hasUrgentUpdates(id),
+    );
+    if (hasUrgentUpdates) sender.schedule(true);
   }
 
-  /** Each rumour is heard here once, and passed on. */
-  private takeRumours(
+  /** Handles each rumour once and passes it on. */
+  private receiveRumours(
     contact: PeerContact,
     from: PeerIdentity,
     rumours: readonly Rumour[],
@@ -49,7 +51,7 @@
     const {handlers, sender} = this.options;
     for (const rumour of rumours) {
       if (!this.options.rumours.noteSeen(rumour.id)) continue;
-      handlers.tellRecord(rumour.record, from);
+      handlers.notifyRecord(rumour.record, from);
       for (const other of sender.linked()) {
         if (other !== contact) other.queueRumour(rumour);
       }
--- a/packages/peer/src/frame_sender.ts
+++ b/packages/peer/src/frame_sender.ts
@@ -1,26 +1,26 @@
-/** What goes out, and when: one frame a tick to each instance. */
+/** Composes and sends the frames: at most one per tick to each instance. */
 
 import type {PeerFrame} from './frame_codec.js';
 import {FrameTicker} from './frame_ticker.js';
-import type {LinkKeeper} from './link_keeper.js';
+import type {LinkManager} from './link_manager.js';
 import type {Membership} from './membership.js';
 import type {PeerContact} from './peer_contact.js';
 
-/** What a {@link FrameSender} is made from. */
+/** Options of {@link FrameSender}. */
 export interface FrameSenderOptions {
   readonly membership: Membership;
-  readonly keeper: LinkKeeper;
+  readonly linkManager: LinkManager;
   readonly tickMs: number;
   readonly heartbeatMs: number;
   readonly readNowMs: () => number;
 }
 
-/** A stream carries a heartbeat every second beat. */
-const BEATS_PER_HEARTBEAT = 2;
-/** Timers come a little early or late; a heartbeat due so soon goes now. */
-const BEAT_SLACK_MS = 100;
+/** Intervals of `heartbeatMs` after which a stream without frames gets one. */
+const INTERVALS_PER_HEARTBEAT = 2;
+/** Timers fire early or late; a heartbeat due within this time is sent now. */
+const HEARTBEAT_SLACK_MS = 100;
 
-/** Owns the ticker; what waits is held by the contacts and the membership. */
+/** Owns the ticker; the contacts and the membership hold the queues. */
 export class FrameSender {
   private readonly ticker: FrameTicker;
 
@@ -30,7 +30,9 @@
     this.ticker = new FrameTicker({tickMs, readNowMs, onTick});
   }
 
-  /** Something waits; patient things wait a whole tick for company. */
+  /**
+   * Schedules a flush: as soon as possible if urgent, else after a whole tick.
+   */
   schedule(isUrgent: boolean): void {
     this.ticker.schedule(isUrgent);
   }
@@ -41,13 +43,13 @@
 
   /** Instances to which a frame may be written. */
   *linked(): Generator<PeerContact> {
-    for (const contact of this.options.keeper.contacts.values()) {
+    for (const contact of this.options.linkManager.contacts.values()) {
       if (contact.link?.isWritable) yield contact;
     }
   }
 
-  /** One frame to each instance for which there is something. */
-  flush(isBeat = false): void {
+  /** Sends one frame to each instance for which something is queued or due. */
+  flush(sendsHeartbeats = false): void {
     const {membership, heartbeatMs, readNowMs} = this.options;
     const nowMs = readNowMs();
     this.ticker.noteTick(nowMs);
@@ -55,20 +57,21 @@
     for (const contact of this.linked()) {
       const link = contact.link!;
       const silentMs = nowMs - link.lastSentMs;
-      const dueMs = heartbeatMs * BEATS_PER_HEARTBEAT - BEAT_SLACK_MS;
-      const isHeartbeat = isBeat && silentMs >= dueMs;
-      const hasNews = membership.hasNews(contact.id);
-      const isOwed = contact.hasOutgoing || contact.owesRevision || hasNews;
-      if (!isHeartbeat && !isOwed) continue;
+      const dueMs = heartbeatMs * INTERVALS_PER_HEARTBEAT - HEARTBEAT_SLACK_MS;
+      const isHeartbeat = sendsHeartbeats && silentMs >= dueMs;
+      const hasUrgentUpdates = membership.hasUrgentUpdates(contact.id);
+      const isPending =
+        contact.hasOutgoing || contact.hasUnsentRevision || hasUrgentUpdates;
+      if (!isHeartbeat && !isPending) continue;
       link.send(this.composeFrame(contact, isHeartbeat), nowMs);
-      hasMore ||= membership.hasNews(contact.id);
+      hasMore ||= membership.hasUrgentUpdates(contact.id);
     }
     if (hasMore) this.schedule(true);
   }
 
   private composeFrame(contact: PeerContact, isHeartbeat: boolean): PeerFrame {
     const {membership} = this.options;
-    contact.owesRevision = false;
+    contact.hasUnsentRevision = false;
     return {
       revision: membership.self.revision,
       members: membership.takeUpdates(contact.id, isHeartbeat),
--- a/packages/peer/src/frame_ticker.ts
+++ b/packages/peer/src/frame_ticker.ts
@@ -1,6 +1,6 @@
-/** When the next frames go out. */
+/** Schedules when the next frames are sent. */
 
-/** What a {@link FrameTicker} is made from. */
+/** Options of {@link FrameTicker}. */
 export interface FrameTickerOptions {
   /** Shortest time between two ticks. */
   readonly tickMs: number;
@@ -9,9 +9,10 @@
 }
 
 /**
- * Bounds the frames to one a tick. The timer runs only while something waits,
- * and the streams share it, since waking a sleeping process costs as much as
- * the frame. What comes after a quiet tick goes out at once.
+ * Limits the frames to one per tick. The timer runs only while something is
+ * queued, and the streams share it, since waking a sleeping process costs as
+ * much as the frame. Urgent records after a tick without frames are sent at
+ * once.
  */
 export class FrameTicker {
   private timer?: NodeJS.Timeout;
@@ -20,7 +21,7 @@
 
   constructor(private readonly options: FrameTickerOptions) {}
 
-  /** Patient things wait a whole tick for company. */
+  /** What is not urgent waits a whole tick, so that more shares its frame. */
   schedule(isUrgent: boolean): void {
     const {tickMs, readNowMs, onTick} = this.options;
     const nowMs = readNowMs();
@@ -32,7 +33,7 @@
     this.timer = setTimeout(onTick, dueMs - nowMs);
   }
 
-  /** Frames have gone out. */
+  /** Records that frames have been sent. */
   noteTick(nowMs: number): void {
     clearTimeout(this.timer);
     this.dueMs = Infinity;
--- a/packages/peer/src/gossip_queue.ts
+++ b/packages/peer/src/gossip_queue.ts
@@ -1,20 +1,21 @@
-/** What each neighbour has still to be told of the members. */
+/** Queues the member updates that each neighbour has yet to receive. */
 
 import type {InstanceId} from '@snipestage/types/ids.js';
 
-/** Whether news is worth a frame of its own. */
+/** Whether an update warrants a frame of its own. */
 export type Urgency = 'at_once' | 'with_next_frame';
 
 /**
- * News goes once over each stream, newest first; the room left is filled in
- * turn with all the rest, which repairs whatever a broken stream lost.
+ * Each update goes once over each stream: urgent ones first, then newest first.
+ * {@link takeRoundRobin} gives members to fill the rest of a frame with, which
+ * repairs what a broken stream has lost.
  */
 export class GossipQueue {
-  /** By neighbour, the members to tell of, oldest first. */
+  /** By neighbour, the members with an update to send, oldest first. */
   private readonly pending = new Map<InstanceId, Map<InstanceId, Urgency>>();
   private cursor = 0;
 
-  /** Starts to keep news for a neighbour. */
+  /** Starts a queue for a neighbour. */
   open(neighbour: InstanceId): void {
     if (!this.pending.has(neighbour)) this.pending.set(neighbour, new Map());
   }
@@ -23,7 +24,7 @@
     this.pending.delete(neighbour);
   }
 
-  /** Tells all neighbours, but for the one it was heard from. */
+  /** Queues an update for all neighbours but its subject and its sender. */
   add(
     subject: InstanceId,
     heardFrom?: InstanceId,
@@ -37,20 +38,20 @@
     }
   }
 
-  /** Tells one neighbour. */
+  /** Queues updates for one neighbour. */
   addFor(neighbour: InstanceId, subjects: Iterable<InstanceId>): void {
     const pending = this.pending.get(neighbour);
     for (const subject of subjects) pending?.set(subject, 'at_once');
   }
 
-  /** Whether something waits that is worth a frame of its own. */
+  /** Whether an update waits that warrants a frame of its own. */
   hasUrgent(neighbour: InstanceId): boolean {
     const pending = this.pending.get(neighbour);
     if (pending === undefined) return false;
     return [...pending.values()].includes('at_once');
   }
 
-  /** Takes at most `limit` subjects, newest first. */
+  /** Takes at most `limit` subjects: urgent ones first, then newest first. */
   take(neighbour: InstanceId, limit: number): InstanceId[] {
     const pending = this.pending.get(neighbour);
     if (pending === undefined) return [];
@@ -63,8 +64,8 @@
     return taken;
   }
 
-  /** The next `count` of all members, in turn. */
-  takeInTurn(all: readonly InstanceId[], count: number): InstanceId[] {
+  /** The next `count` of all members, round-robin. */
+  takeRoundRobin(all: readonly InstanceId[], count: number): InstanceId[] {
     const taken: InstanceId[] = [];
     for (let i = 0; i < Math.min(count, all.length); i += 1) {
       taken.push(all[this.cursor % all.length]);
--- a/packages/peer/src/link_keeper.ts
+++ b/packages/peer/src/link_manager.ts
@@ -1,6 +1,6 @@
 /**
- * Opens, replaces and closes the links: at most one a pair of processes, and
- * none that has gone silent.
+ * Opens, replaces and closes the links: at most one for each pair of processes,
+ * and none that has gone silent.
  */
 
 import type {ServiceDefinition} from '@grpc/grpc-js';
@@ -11,29 +11,38 @@
 import {PeerContact} from './peer_contact.js';
 import type {LinkEnd, LinkOwner, PeerLink} from './peer_link.js';
 
-const SILENT_AFTER_BEATS = 3.5;
+// Time-outs named `..._INTERVALS` are in intervals of `heartbeatMs`.
+
+/** Time without a frame after which a link is ended as silent. */
+const SILENT_AFTER_INTERVALS = 3.5;
+/**
+ * Time-out of each step of opening a link: connection, proof, hello. An
+ * instance that is gone or frozen completes the first step at most. One that is
+ * busy or far away is slow at each: with one time-out for all steps together,
+ * every dial to it would be abandoned and its queued records returned, again
+ * and again, and a request would get no permit though the owner of its cell
+ * runs.
+ */
+const CONNECT_STEP_TIMEOUT_INTERVALS = 2;
+/**
+ * Time-out of the hello on an accepted link; longer, since nothing waits for
+ * it.
+ */
+const HELLO_TIMEOUT_INTERVALS = 10;
+/** Time after which a duplicate that its dialler hasn't closed is ended. */
+const RETIRING_TIMEOUT_INTERVALS = 10;
 /**
- * For each step of opening a link: connection, proof, hello. An instance that is
- * gone or frozen gives no sign after the first or none at all. One that is busy
- * or far away takes its time with each: were the time for all of them together,
- * each dial to it would be given up and what waits for it handed back, again and
- * again, and a request would get no permit though its owner is there.
+ * Idle time-out of a link that has carried records: it may well be used again.
  */
-const CONNECT_TIMEOUT_BEATS = 2;
-/** Nothing waits for a link whose other side has yet to say hello. */
-const HELLO_TIMEOUT_BEATS = 10;
-/** A duplicate that its dialler hasn't closed by then leads nowhere any more. */
-const LONGEST_LINGER_BEATS = 10;
-/** A stream over which records went may well be used again. */
-const IDLE_CLOSE_MS = 60_000;
-/** One that was opened to find members has done its part. */
-const UNUSED_CLOSE_BEATS = 10;
-
-/** What the keeper asks of and tells the network. */
+const IDLE_TIMEOUT_MS = 60_000;
+/** Age at which a link without records is closed: it served to find members. */
+const UNUSED_TIMEOUT_INTERVALS = 10;
+
+/** Callbacks of a {@link LinkManager} into the network. */
 export interface LinkEvents {
   readonly readNowMs: () => number;
   readonly describeSelf: () => Hello;
-  readonly sayHello: (link: PeerLink) => void;
+  readonly sendHello: (link: PeerLink) => void;
   readonly onOpened: (contact: PeerContact, hello: Hello) => void;
   readonly onFrame: (
     contact: PeerContact,
@@ -41,7 +50,7 @@
     frame: PeerFrame,
   ) => void;
   readonly onLost: (contact: PeerContact, reason: LinkEnd) => void;
-  /** Every dial to it failed: what was queued for it is not delivered. */
+  /** A dial failed and there is no link: queued records are not delivered. */
   readonly onUnreachable: (contact: PeerContact) => void;
   readonly log: (
     event: string,
@@ -49,8 +58,8 @@
   ) => void;
 }
 
-/** What a {@link LinkKeeper} is made from. */
-export interface LinkKeeperOptions {
+/** Options of {@link LinkManager}. */
+export interface LinkManagerOptions {
   readonly events: LinkEvents;
   readonly credentials: PeerCredentials;
   readonly sharedSecret: string;
@@ -59,20 +68,20 @@
   readonly heartbeatMs: number;
 }
 
-export class LinkKeeper implements LinkOwner {
+export class LinkManager implements LinkOwner {
   readonly contacts = new Map<InstanceId, PeerContact>();
-  /** How often links ended, by reason. */
+  /** Number of ended links by reason. */
   readonly ends: {[Reason in LinkEnd]?: number} = {};
-  /** Links over which nobody has said hello yet. */
-  private readonly anonymous = new Set<PeerLink>();
+  /** Accepted links over which no hello has come yet. */
+  private readonly unidentified = new Set<PeerLink>();
   private readonly dialledTo = new Map<PeerLink, PeerContact>();
-  /** Duplicates that are still read, with the time at which they end. */
+  /** Duplicates that are still read, with the time at which they are ended. */
   private readonly retiring = new Map<PeerLink, number>();
   private isClosed = false;
 
-  constructor(private readonly options: LinkKeeperOptions) {}
+  constructor(private readonly options: LinkManagerOptions) {}
 
-  contactOf(id: InstanceId): PeerContact {
+  getOrCreateContact(id: InstanceId): PeerContact {
     let contact = this.contacts.get(id);
     if (contact === undefined) {
       contact = new PeerContact(id);
@@ -81,7 +90,9 @@
     return contact;
   }
 
-  /** Opens a link unless there is one, one is being opened or it is too soon. */
+  /**
+   * Opens a link unless one is open or being opened, or the backoff still runs.
+   */
   dial(contact: PeerContact, address: string): void {
     const nowMs = this.options.events.readNowMs();
     if (this.isClosed) return;
@@ -96,15 +107,15 @@
       service,
       readNowMs: events.readNowMs,
       heartbeatMs: this.options.heartbeatMs,
-      onProven: proven => events.sayHello(proven),
+      onProven: proven => events.sendHello(proven),
     });
     contact.dialling = link;
     this.dialledTo.set(link, contact);
   }
 
-  /** Takes a link that another process opened. */
+  /** Accepts a link that another process opened. */
   accept(link: PeerLink): void {
-    this.anonymous.add(link);
+    this.unidentified.add(link);
   }
 
   onFrame(link: PeerLink, frame: PeerFrame): void {
@@ -120,7 +131,7 @@
   onEnd(link: PeerLink, reason: LinkEnd, detail: string): void {
     const {events, random} = this.options;
     this.ends[reason] = (this.ends[reason] ?? 0) + 1;
-    this.anonymous.delete(link);
+    this.unidentified.delete(link);
     this.retiring.delete(link);
     const contact =
       this.dialledTo.get(link) ??
@@ -138,32 +149,35 @@
     }
   }
 
-  /** Ends what has gone silent, timed out or is no longer used. */
+  /** Ends links that have gone silent, timed out or are no longer used. */
   sweep(neighbours: ReadonlySet<InstanceId>): void {
     const {events, heartbeatMs} = this.options;
-    const silentAfterMs = heartbeatMs * SILENT_AFTER_BEATS;
+    const silentAfterMs = heartbeatMs * SILENT_AFTER_INTERVALS;
     const nowMs = events.readNowMs();
-    this.endUnopened(this.dialledTo.keys(), CONNECT_TIMEOUT_BEATS);
-    this.endUnopened(this.anonymous, HELLO_TIMEOUT_BEATS);
+    this.endTimedOut(this.dialledTo.keys(), CONNECT_STEP_TIMEOUT_INTERVALS);
+    this.endTimedOut(this.unidentified, HELLO_TIMEOUT_INTERVALS);
     for (const [link, endMs] of this.retiring) {
       if (nowMs >= endMs) link.end('duplicate');
     }
     for (const contact of this.contacts.values()) {
       const {link} = contact;
       if (link === undefined) continue;
-      // The connection may be up as far as the kernel knows, while something
-      // between the two ends has forgotten it. Nothing else would show it but
-      // requests that wait for ever.
+      // A firewall or NAT between the two ends may have dropped the connection
+      // while the kernel still takes it for open. Without this check, nothing
+      // but requests that wait for ever would show it.
       if (nowMs - link.lastHeardMs > silentAfterMs) link.end('silent');
       else if (!link.isDialled || neighbours.has(contact.id)) continue;
       else if (this.isIdle(link, nowMs)) link.end('idle');
     }
   }
 
-  /** Ends links whose other side takes too long with the next step. */
-  private endUnopened(links: Iterable<PeerLink>, timeoutBeats: number): void {
+  /** Ends links whose other side takes too long with the next opening step. */
+  private endTimedOut(
+    links: Iterable<PeerLink>,
+    timeoutIntervals: number,
+  ): void {
     const {events, heartbeatMs} = this.options;
-    const sinceMs = events.readNowMs() - heartbeatMs * timeoutBeats;
+    const sinceMs = events.readNowMs() - heartbeatMs * timeoutIntervals;
     for (const link of [...links]) {
       if (link.peer !== undefined || link.lastHeardMs > sinceMs) continue;
       link.end('connect_timeout');
@@ -172,13 +186,13 @@
 
   private isIdle(link: PeerLink, nowMs: number): boolean {
     if (link.lastRecordMs !== undefined) {
-      return nowMs - link.lastRecordMs > IDLE_CLOSE_MS;
+      return nowMs - link.lastRecordMs > IDLE_TIMEOUT_MS;
     }
-    const unusedCloseMs = this.options.heartbeatMs * UNUSED_CLOSE_BEATS;
-    return nowMs - link.openedMs > unusedCloseMs;
+    const unusedTimeoutMs = this.options.heartbeatMs * UNUSED_TIMEOUT_INTERVALS;
+    return nowMs - link.openedMs > unusedTimeoutMs;
   }
 
-  /** Forgets contacts that hold nothing. */
+  /** Removes contacts of unknown instances without a link or a dial. */
   forget(isKnown: (id: InstanceId) => boolean): void {
     for (const [id, contact] of this.contacts) {
       if (contact.isConnected || contact.dialling || isKnown(id)) continue;
@@ -189,7 +203,7 @@
   /** Ends all links and opens no more. */
   close(): void {
     this.isClosed = true;
-    for (const link of this.anonymous) link.end('closed');
+    for (const link of this.unidentified) link.end('closed');
     for (const link of this.retiring.keys()) link.end('closed');
     for (const contact of this.contacts.values()) {
       contact.dialling?.end('closed');
@@ -198,41 +212,42 @@
   }
 
   /**
-   * Both sides choose the same stream of two, though not at the same moment:
-   * until it has seen both, one may send over the one that is to go. Ended by
-   * this side, the loser would take along what is still under way, and a request
-   * would wait for an answer to what was never heard. So its dialler only says
-   * that nothing more will come, and the other side, once it has read all up to
-   * that, ends the stream behind its own last record.
+   * Lets a duplicate stream run out. Both sides choose the same one of two
+   * streams, though not at the same moment: until a side has seen both, it may
+   * send over the duplicate. If this side ended it, records in transit would be
+   * lost, and a request would wait for an answer to one that never arrived. So
+   * the dialler of the duplicate only signals that no more frames come, and the
+   * other side, once it has read up to that signal, ends the stream after its
+   * own last record.
    */
   private retire(link: PeerLink): void {
     const {events, heartbeatMs} = this.options;
     link.finishSending();
-    const lingerMs = heartbeatMs * LONGEST_LINGER_BEATS;
-    this.retiring.set(link, events.readNowMs() + lingerMs);
+    const retiringTimeoutMs = heartbeatMs * RETIRING_TIMEOUT_INTERVALS;
+    this.retiring.set(link, events.readNowMs() + retiringTimeoutMs);
   }
 
-  /** The first frame has come. False when the link is not to be used. */
+  /** Handles the first frame. Returns false when the link is not to be used. */
   private open(link: PeerLink, hello: Hello | undefined): boolean {
     const {events} = this.options;
     const self = events.describeSelf();
     if (hello === undefined || hello.id === self.id) {
-      link.end('refused', 'No other instance said hello.');
+      link.end('refused', 'The first frame is no hello of another instance.');
       return false;
     }
     link.peer = hello;
-    this.anonymous.delete(link);
-    if (!link.isDialled) events.sayHello(link);
+    this.unidentified.delete(link);
+    if (!link.isDialled) events.sendHello(link);
     const dialled = this.dialledTo.get(link);
-    const contact = this.contactOf(hello.id);
+    const contact = this.getOrCreateContact(hello.id);
     if (dialled !== undefined && dialled !== contact) {
-      // Another instance has the address now.
+      // The address now belongs to another instance.
       dialled.dialling = undefined;
       dialled.noteFailedDial(events.readNowMs(), this.options.random);
     }
-    const loser = contact.adopt(link, self.id, events.readNowMs());
-    if (loser !== undefined) this.retire(loser);
-    if (loser === link) return false;
+    const duplicate = contact.adopt(link, self.id, events.readNowMs());
+    if (duplicate !== undefined) this.retire(duplicate);
+    if (duplicate === link) return false;
     this.dialledTo.delete(link);
     events.log('link_opened', {peer: hello.id, isDialled: link.isDialled});
     events.onOpened(contact, hello);
--- a/packages/peer/src/measure_network.ts
+++ b/packages/peer/src/measure_network.ts
@@ -1,8 +1,9 @@
 /**
- * Measures what a network costs a process: runs as many processes as asked for
- * on loopback, idle and with a few records a tick, and prints processor time,
- * frames, bytes and memory of each; then pushes revisions and prints the time
- * until all have them in force. It ends just the processes that it started.
+ * Measures the cost of a network to a process: runs the given numbers of
+ * processes on loopback, idle and with a few records a tick, and prints
+ * processor time, frames, bytes and memory per process. Between the two it
+ * pushes revisions and prints the time until all processes have them in force.
+ * Kills only the processes that it started.
  *
  * `node dist/measure_network.js [sizes, by default 9 20 40]`
  */
@@ -22,13 +23,13 @@
 const DATA_CENTRES = 3;
 const SETTLE_MS = 12_000;
 const MEASURE_MS = 15_000;
-const PUSHES = 20;
-const PUSH_EVERY_MS = 500;
+const PUSH_COUNT = 20;
+const PUSH_INTERVAL_MS = 500;
 const BUSY_RECORDS_PER_TICK = 3;
 const BUSY_TICK_MS = 50;
 const TARGET_INSTANCES = 380;
 
-/** What a child prints when asked. */
+/** Answer of a child to a command. */
 interface Reading {
   readonly cpuMs: number;
   readonly framesSent: number;
@@ -44,7 +45,7 @@
 interface Child {
   readonly process: ChildProcess;
   readonly listed: ListedInstance;
-  /** Sends one command and resolves with the line it answers. */
+  /** Sends one command and resolves with the answer. */
   ask(command: object): Promise<Reading>;
 }
 
@@ -71,7 +72,10 @@
   return Promise.all(children.map(child => child.ask(command)));
 }
 
-/** Mean of each figure a second and a process. */
+/**
+ * Mean of each rate per second and process, the largest memory and the smallest
+ * number of members held alive.
+ */
 async function measureRates(children: readonly Child[]) {
   const before = await askAll(children, {kind: 'read'});
   await sleep(MEASURE_MS);
@@ -95,10 +99,10 @@
 
 async function measureSpread(children: readonly Child[]): Promise<number[]> {
   const startedEpochMs = new Map<number, number>();
-  for (let revision = 1; revision <= PUSHES; revision += 1) {
+  for (let revision = 1; revision <= PUSH_COUNT; revision += 1) {
     startedEpochMs.set(revision, Date.now());
     await children[revision % children.length].ask({kind: 'push', revision});
-    await sleep(PUSH_EVERY_MS);
+    await sleep(PUSH_INTERVAL_MS);
   }
   const readings = await askAll(children, {kind: 'read'});
   return [...startedEpochMs].map(([revision, startMs]) => {
--- a/packages/peer/src/measure_network_child.ts
+++ b/packages/peer/src/measure_network_child.ts
@@ -1,6 +1,6 @@
 /**
- * One process of the measurement: a network that does as it is told on its
- * standard input, one JSON line a command, and answers each with its figures.
+ * One process of the measurement: a network that executes the commands on its
+ * standard input, one JSON line each, and answers each with its figures.
  */
 
 import {createInterface} from 'node:readline';
@@ -15,11 +15,11 @@
 import {ConfigurationSpread} from './configuration_spread.js';
 import {PeerNetwork} from './peer_network.js';
 
-/** As large as a configuration of a few hundred objects. */
+/** The size of a configuration of a few hundred objects. */
 const PAYLOAD = Buffer.alloc(100_000, 'x');
-const MEGABYTE = 1024 * 1024;
-const BUSY_PEERS = 2;
-/** The defaults of the settings. */
+const BYTES_PER_MB = 1024 * 1024;
+const BUSY_PEER_COUNT = 2;
+/** Default values of the settings. */
 const SETTINGS = {
   host: '127.0.0.1',
   port: 0,
@@ -56,7 +56,9 @@
   process.stdout.write(`${JSON.stringify(line)}\n`);
 }
 
-/** A few grants a tick to each of two instances of the data centre. */
+/**
+ * Sends `records` grants each tick to each of two instances of the data centre.
+ */
 function startBusy(records: number, tickMs: number): void {
   const grant = {
     attempt: '0123456789abcdef' as AttemptId,
@@ -65,7 +67,7 @@
   const peers = network
     .members()
     .filter(member => member.dataCentre === dataCentre && member.id !== id)
-    .slice(0, BUSY_PEERS);
+    .slice(0, BUSY_PEER_COUNT);
   setInterval(() => {
     for (const peer of peers) {
       for (let n = 0; n < records; n += 1) {
@@ -75,7 +77,7 @@
   }, tickMs);
 }
 
-function obey(command: Command): void {
+function execute(command: Command): void {
   if (command.kind === 'seed') network.seed(command.instances);
   if (command.kind === 'busy') startBusy(command.records, command.tickMs);
   if (command.kind === 'push') {
@@ -94,7 +96,7 @@
     framesReceived,
     bytesSent,
     bytesReceived,
-    memoryMb: process.memoryUsage.rss() / MEGABYTE,
+    memoryMb: process.memoryUsage.rss() / BYTES_PER_MB,
     alive: snapshot.members.filter(({state}) => state === 'alive').length,
     inForceEpochMs,
   };
@@ -104,8 +106,8 @@
 print({peerAddress: network.address()});
 const lines = createInterface(process.stdin);
 lines.on('line', line => {
-  obey(JSON.parse(line) as Command);
+  execute(JSON.parse(line) as Command);
   print(read());
 });
-// It must not outlive the process that measures.
+// Must not outlive the process that measures.
 lines.on('close', () => process.exit(0));
--- a/packages/peer/src/measure_rounds.ts
+++ b/packages/peer/src/measure_rounds.ts
@@ -1,6 +1,6 @@
 /**
- * Prints what membership costs an instance and how fast news travels, at
- * several sizes, from simulated rounds.
+ * Prints the cost of membership to an instance and the time in which joins and
+ * losses become known, at several sizes, from simulated rounds.
  */
 
 import {SimulatedNetworks, type SimulatedNode} from './simulate_rounds.js';
@@ -12,7 +12,7 @@
 ];
 const SETTLE_MS = 10_000;
 const IDLE_MS = 60_000;
-const MOST_MS = 120_000;
+const MAX_RUN_MS = 120_000;
 
 function perSecond(
   nodes: readonly SimulatedNode[],
@@ -42,18 +42,18 @@
     const states = networks.statesOf(joiner.id);
     const known = joiner.membership.others().length;
     return states.size === 1 && states.has('alive') && known === nodes.length;
-  }, MOST_MS);
+  }, MAX_RUN_MS);
   networks.run(SETTLE_MS);
   const lost = nodes[1];
   lost.isRunning = false;
   const seenMs = networks.runUntil(() => {
     const states = networks.statesOf(lost.id);
     return !states.has('alive');
-  }, MOST_MS);
+  }, MAX_RUN_MS);
   const deadMs = networks.runUntil(() => {
     const states = networks.statesOf(lost.id);
     return states.size === 1 && states.has('dead');
-  }, MOST_MS);
+  }, MAX_RUN_MS);
   console.log(
     [
       `instances ${nodes.length}`,
--- a/packages/peer/src/measure_statistics.ts
+++ b/packages/peer/src/measure_statistics.ts
@@ -1,4 +1,4 @@
-/** The little arithmetic that the measurements need. */
+/** Statistics for the measurements. */
 
 /** A straight line. */
 export interface Line {
@@ -7,7 +7,7 @@
 }
 
 /**
- * Least squares.
+ * Fits a line to points by least squares.
  *
  * @example
  * const {slope} = fitLine([[9, 3.1], [40, 3.3]]);
--- a/packages/peer/src/member_dialler.ts
+++ b/packages/peer/src/member_dialler.ts
@@ -1,15 +1,15 @@
-/** Decides whom to dial, and when it is this side's turn to. */
+/** Decides which instances to dial, and when this side dials. */
 
 import type {InstanceId} from '@snipestage/types/ids.js';
 import type {ListedInstance} from '@snipestage/types/platform_messages.js';
-import type {LinkKeeper} from './link_keeper.js';
+import type {LinkManager} from './link_manager.js';
 import type {Membership} from './membership.js';
 import {SeedList} from './seed_list.js';
 
-/** What a {@link MemberDialler} is made from. */
+/** Options of {@link MemberDialler}. */
 export interface MemberDiallerOptions {
   readonly membership: Membership;
-  readonly keeper: LinkKeeper;
+  readonly linkManager: LinkManager;
   readonly random: () => number;
   readonly heartbeatMs: number;
 }
@@ -23,42 +23,49 @@
     this.seeds = new SeedList(this.id, options.random);
   }
 
-  /** Takes the platform's list; dials at once while nobody is known. */
+  /** Takes the platform's list; dials at once while no member is known. */
   seed(listed: readonly ListedInstance[], nowMs: number): void {
     this.seeds.replace(listed);
     if (this.options.membership.others().length === 0) this.dialSeeds(nowMs);
   }
 
   dialMember(id: InstanceId): void {
-    const {membership, keeper} = this.options;
+    const {membership, linkManager} = this.options;
     const member = membership.get(id);
     if (member === undefined) return;
-    keeper.dial(keeper.contactOf(id), member.peerAddress);
+    linkManager.dial(linkManager.getOrCreateContact(id), member.peerAddress);
   }
 
-  /** The lower id dials; the other one does when that has led to nothing. */
+  /**
+   * The lower id dials; the other one does after a heartbeat interval without
+   * link.
+   */
   dialNeighbours(neighbours: Iterable<InstanceId>, nowMs: number): void {
     for (const id of neighbours) {
-      const contact = this.options.keeper.contactOf(id);
+      const contact = this.options.linkManager.getOrCreateContact(id);
       if (contact.isConnected) continue;
-      contact.wantedMs ??= nowMs;
-      const isOverdue = nowMs - contact.wantedMs >= this.options.heartbeatMs;
+      contact.wantedSinceMs ??= nowMs;
+      const isOverdue =
+        nowMs - contact.wantedSinceMs >= this.options.heartbeatMs;
       if (this.id < id || isOverdue) this.dialMember(id);
     }
   }
 
-  /** Records wait for an instance to which the last dial led to nothing. */
+  /** Dials the instances without a link for which records are queued. */
   dialWaiting(): void {
-    for (const contact of this.options.keeper.contacts.values()) {
+    for (const contact of this.options.linkManager.contacts.values()) {
       if (contact.hasOutgoing) this.dialMember(contact.id);
     }
   }
 
-  /** Members not yet met, and lost ones, a few at a time. */
+  /** Dials instances not yet known and those held dead, a few at a time. */
   dialSeeds(nowMs: number): void {
-    const {membership, keeper} = this.options;
+    const {membership, linkManager} = this.options;
     for (const seed of this.seeds.choose(membership.others(), nowMs)) {
-      keeper.dial(keeper.contactOf(seed.id), seed.peerAddress);
+      linkManager.dial(
+        linkManager.getOrCreateContact(seed.id),
+        seed.peerAddress,
+      );
     }
   }
 }
--- a/packages/peer/src/member_rules.ts
+++ b/packages/peer/src/member_rules.ts
@@ -1,13 +1,14 @@
 /**
- * Which of two accounts of a member holds, so that instances which heard the
- * same agree. Two incarnations with the same heartbeat are left as they are
- * until the member itself, which hears of it, raises its own.
+ * Decides which of two updates about a member takes precedence, so that
+ * instances that received the same updates agree.
  *
- * The higher heartbeat holds, whichever the incarnation: an instance starts
- * from the epoch's milliseconds, so that a new life is above the old one, and
- * raises its heartbeat above whatever is said of it that is not so. With equal
- * heartbeats the state of higher rank holds. See SWIM (Das, Gupta, Motivala,
- * 2002), section 4.2.
+ * The higher heartbeat takes precedence, whichever the incarnation: an instance
+ * starts with the milliseconds since the epoch, so that a new incarnation is
+ * above the old one, and raises its heartbeat above any false update about
+ * itself. With equal heartbeats of one incarnation the state of higher rank
+ * takes precedence. With equal heartbeats of two incarnations the known update
+ * stays until the member itself receives the other one and raises its
+ * heartbeat. See SWIM (Das, Gupta, Motivala, 2002), section 4.2.
  */
 
 import type {Member, MemberState} from '@snipestage/types/member.js';
@@ -20,57 +21,63 @@
 };
 
 /**
- * Whether an account replaces the known one, revision aside.
+ * Whether an update replaces the known one. Revisions are not compared.
  *
  * @example
- * if (isNewer(told, known)) entry.member = told;
+ * if (isNewer(update, known)) entry.member = update;
  */
-export function isNewer(told: Member, known: Member): boolean {
-  if (told.heartbeat !== known.heartbeat) {
-    return told.heartbeat > known.heartbeat;
+export function isNewer(update: Member, known: Member): boolean {
+  if (update.heartbeat !== known.heartbeat) {
+    return update.heartbeat > known.heartbeat;
   }
-  if (told.incarnation !== known.incarnation) return false;
-  return RANKS[told.state] > RANKS[known.state];
+  if (update.incarnation !== known.incarnation) return false;
+  return RANKS[update.state] > RANKS[known.state];
 }
 
 /**
- * Whether an account says something of `self` that `self` must correct: that
- * it is failing, or that another life of it is the newer one.
+ * Whether `self` must refute an update about itself: one that reports a failure
+ * or that gives precedence to another incarnation.
  *
  * @example
- * if (needsRefutation(told, self)) heartbeat = told.heartbeat + 1;
+ * if (needsRefutation(update, self)) heartbeat = update.heartbeat + 1;
  */
-export function needsRefutation(told: Member, self: Member): boolean {
-  if (told.heartbeat < self.heartbeat) return false;
-  if (told.incarnation !== self.incarnation) return true;
-  return isAccusation(told);
+export function needsRefutation(update: Member, self: Member): boolean {
+  if (update.heartbeat < self.heartbeat) return false;
+  if (update.incarnation !== self.incarnation) return true;
+  return reportsFailure(update);
 }
 
 /**
- * Whether an account says that its member fails.
+ * Whether an update reports its member as suspected or dead.
  *
  * @example
- * if (isAccusation(told)) accusations.set(told.id, told);
+ * if (reportsFailure(update)) failureReports.set(update.id, update);
  */
-export function isAccusation({state}: Member): boolean {
+export function reportsFailure({state}: Member): boolean {
   return state === 'suspect' || state === 'dead';
 }
 
 /**
- * The state that a newer account by another member leads to. A death that was
- * only told of starts a suspicion, so that the member has time to refute it;
- * one that was leaving is gone, and one found dead here stays dead.
+ * The state to record for a newer update received from another member. A death
+ * that is only reported starts a suspicion, so that the member has time to
+ * refute it. A leaving member is dead at once, and one that is held dead here
+ * stays dead when another failure report comes.
  *
  * @example
- * stateOnHearsay({...told, state: 'dead'}, known); // 'suspect' if it was alive
+ * // 'suspect' if it was alive
+ * resolveReportedState({...update, state: 'dead'}, known);
  */
-export function stateOnHearsay(told: Member, known: Member): MemberState {
-  if (known.state === 'dead' && isAccusation(told)) return 'dead';
-  const isDeathOnlyTold = told.state === 'dead' && known.state !== 'leaving';
-  return isDeathOnlyTold ? 'suspect' : told.state;
+export function resolveReportedState(
+  update: Member,
+  known: Member,
+): MemberState {
+  if (known.state === 'dead' && reportsFailure(update)) return 'dead';
+  const isUnconfirmedDeath =
+    update.state === 'dead' && known.state !== 'leaving';
+  return isUnconfirmedDeath ? 'suspect' : update.state;
 }
 
-/** A new life's first heartbeat, see above. */
+/** First heartbeat of a new incarnation, see the head of this file. */
 export function firstHeartbeat(epochMs: number): number {
   return Math.floor(epochMs);
 }
--- a/packages/peer/src/member_watch.ts
+++ b/packages/peer/src/member_watch.ts
@@ -1,25 +1,27 @@
-/** Who the neighbours are, who is due to be heard, and what each change means. */
+/**
+ * Tracks the neighbours and the expected frames, and handles member changes.
+ */
 
 import type {InstanceId} from '@snipestage/types/ids.js';
-import type {LinkKeeper} from './link_keeper.js';
+import type {LinkManager} from './link_manager.js';
 import type {MemberChange, Membership} from './membership.js';
 import type {NetworkHandlers} from './network_handlers.js';
 import {findNeighbours} from './overlay.js';
 import type {PeerContact} from './peer_contact.js';
 
-/** What a {@link MemberWatch} is made from. */
+/** Options of {@link MemberWatch}. */
 export interface MemberWatchOptions {
   readonly membership: Membership;
-  readonly keeper: LinkKeeper;
+  readonly linkManager: LinkManager;
   readonly handlers: NetworkHandlers;
 }
 
 /**
- * Lets the membership judge silence, and carries each change of it to the
- * neighbours, the queues and the handlers.
+ * Has the membership check for silent members, and applies each change to the
+ * set of neighbours, the queues and the handlers.
  *
  * @example
- * const watch = new MemberWatch({membership, keeper, handlers});
+ * const watch = new MemberWatch({membership, linkManager, handlers});
  * watch.judgeSilence(nowMs);
  */
 export class MemberWatch {
@@ -27,25 +29,27 @@
 
   constructor(private readonly options: MemberWatchOptions) {}
 
-  /** With whom a stream is to be kept open for heartbeats and gossip. */
+  /** Instances to which a stream is kept open for heartbeats and gossip. */
   get neighbours(): ReadonlySet<InstanceId> {
     return this.currentNeighbours;
   }
 
-  /** Suspects or gives up members that have been silent for too long. */
+  /**
+   * Suspects members that have been silent for too long, or holds them dead.
+   */
   judgeSilence(nowMs: number): void {
     const watched = new Set(this.neighbours);
-    const spared = new Set<InstanceId>();
-    for (const contact of this.options.keeper.contacts.values()) {
+    const exempt = new Set<InstanceId>();
+    for (const contact of this.options.linkManager.contacts.values()) {
       if (contact.isConnected) watched.add(contact.id);
       const isFirstDial = contact.failedDials === 0;
-      if (contact.dialling && isFirstDial) spared.add(contact.id);
+      if (contact.dialling && isFirstDial) exempt.add(contact.id);
     }
-    this.options.membership.tick(nowMs, watched, spared);
+    this.options.membership.tick(nowMs, watched, exempt);
     this.publishChanges();
   }
 
-  /** Tells the handlers of all changes that they have not been told of. */
+  /** Passes all changes not yet published to the handlers. */
   publishChanges(): void {
     const {membership, handlers} = this.options;
     const changes = membership.takeChanges();
@@ -53,21 +57,23 @@
     this.currentNeighbours = new Set(
       findNeighbours(membership.self, membership.others()),
     );
-    for (const change of changes) this.dropIfLifeEnded(change);
-    handlers.tellChanges(changes);
+    for (const change of changes) this.dropIfIncarnationEnded(change);
+    handlers.notifyChanges(changes);
   }
 
-  /** Hands back the records that wait for an instance. */
+  /**
+   * Passes the records queued for an instance to the handlers as undelivered.
+   */
   dropOutgoing(contact: PeerContact): void {
     contact.takeRumours();
-    this.options.handlers.tellUndelivered(contact.id, contact.takeRecords());
+    this.options.handlers.notifyUndelivered(contact.id, contact.takeRecords());
   }
 
-  /** What was queued for a life that has ended means nothing to the next. */
-  private dropIfLifeEnded({member, previous}: MemberChange): void {
-    const isOtherLife = previous?.incarnation !== member.incarnation;
-    if (member.state !== 'dead' && !isOtherLife) return;
-    const contact = this.options.keeper.contacts.get(member.id);
+  /** Records queued for an ended incarnation mean nothing to the next one. */
+  private dropIfIncarnationEnded({member, previous}: MemberChange): void {
+    const isOtherIncarnation = previous?.incarnation !== member.incarnation;
+    if (member.state !== 'dead' && !isOtherIncarnation) return;
+    const contact = this.options.linkManager.contacts.get(member.id);
     if (contact !== undefined) this.dropOutgoing(contact);
   }
 }
--- a/packages/peer/src/membership.test.ts
+++ b/packages/peer/src/membership.test.ts
@@ -19,7 +19,7 @@
   revision: fc.constant(0),
 }) as unknown as fc.Arbitrary<Member>;
 
-test('of two accounts at most one replaces the other', t => {
+test('of two updates at most one replaces the other', t => {
   fc.assert(
     fc.property(ANY_MEMBER, ANY_MEMBER, (a, b) => {
       return !(isNewer(a, b) && isNewer(b, a));
@@ -53,12 +53,12 @@
     choosePollers(members[0].dataCentre, [...members].reverse()),
     polls,
   );
-  // A data centre that is alone still has its rings.
+  // A single data centre still has its rings.
   const local = members.filter(m => m.dataCentre === members[0].dataCentre);
   t.true(findNeighbours(local[0], local).length >= 2);
 });
 
-test('idle cost of an instance does not grow with their number', t => {
+test('the idle cost of an instance does not grow with the number of instances', t => {
   const rates = [3, 76].map(instancesPerDataCentre => {
     const networks = new SimulatedNetworks({
       dataCentres: 5,
@@ -72,9 +72,10 @@
   t.true(Math.max(...rates) <= 7, `frames a second: ${rates.join(', ')}`);
 });
 
-// What one instance sends to a neighbour is lost, while all else passes. The
-// neighbour must not have it held dead, nor keep all busy with its suspicions.
-test('a one-way cut leaves both alive and the gossip quiet', t => {
+// Frames from one instance to a neighbour are lost, all others are delivered.
+// The neighbour's suspicions must not get the instance held dead, nor cause
+// endless gossip.
+test('a one-way cut leaves both instances alive and causes few refutations', t => {
   const ids = {from: '' as InstanceId, to: '' as InstanceId};
   const networks = new SimulatedNetworks({
     ...SIZE,
@@ -93,14 +94,14 @@
   }, 120_000);
   t.true(seen.has('suspect'));
   t.false(seen.has('dead'));
-  // Each new suspicion waits twice as long as the last.
+  // Each new suspicion waits twice as long as the previous one.
   t.true(first.membership.refutationCount >= 1);
   t.true(first.membership.refutationCount <= 8);
 });
 
-// The network between data centres breaks for a minute. Each side goes on
-// alone, and takes the other for dead; after that all must be as before, and
-// nobody may hold dead a member of its own side meanwhile.
+// The network between data centres is cut for a minute. Each side goes on alone
+// and holds the other dead, but no member of its own side. Afterwards all must
+// be alive again to all.
 test('a healed partition leaves nobody dead', t => {
   const side = (id: InstanceId) => id.startsWith('dc0');
   const networks = new SimulatedNetworks({
@@ -120,7 +121,7 @@
         if (isOwn && member.state === 'dead') ownDead += 1;
       }
     }
-    // As the list of lost members makes it happen, see SeedList.
+    // SeedList dials members held dead, with the same effect.
     if (networks.nowMs === 70_000) networks.connect(nodes[0], other);
     return false;
   }, 30_000);
@@ -130,8 +131,8 @@
   }
 });
 
-// An instance of a peer is lost. The others must agree on it within the time
-// that the settings promise, and tell it from a member that is only slow.
+// An instance is lost. All others must hold it dead within the time that the
+// settings allow, and later remove it.
 test('a lost instance is held dead by all, and forgotten', t => {
   const networks = new SimulatedNetworks(SIZE);
   networks.run(5000);
@@ -143,7 +144,7 @@
   t.deepEqual([...networks.statesOf(lost.id)], [undefined]);
 });
 
-test('a pause of the process counts as no time', t => {
+test('the active clock leaves out pauses of the process', t => {
   let monotonicMs = 0;
   const clock = new ActiveClock({
     readMonotonicMs: () => monotonicMs,
--- a/packages/peer/src/membership.ts
+++ b/packages/peer/src/membership.ts
@@ -1,12 +1,14 @@
 /**
- * Who is there: heartbeats seen directly, and gossip, merged into one view.
- * Does no I/O; the caller passes the time in and carries the updates out.
+ * The view that one instance has of all members, merged from heartbeats that it
+ * receives itself and from gossip. Does no I/O; the caller passes the time in
+ * and sends the updates.
  *
- * After SWIM (Das, Gupta, Motivala, 2002) with these differences: evidence
+ * Follows SWIM (Das, Gupta, Motivala, 2002) with two differences. Evidence
  * comes from the frames of long-lived streams between fixed neighbours, not
  * from probes of members chosen at random, since a new stream costs as much
- * processor time as ten frames; and a rumour of a death only starts suspicion,
- * so that a member of the other side of a healed partition has time to refute.
+ * processor time as ten frames. And a death that is only reported starts a
+ * suspicion, so that a member from the other side of a healed partition has
+ * time to refute it.
  */
 
 import type {InstanceId, Revision} from '@snipestage/types/ids.js';
@@ -14,10 +16,10 @@
 import type {Hello} from './frame_codec.js';
 import {GossipQueue} from './gossip_queue.js';
 import {
-  isAccusation,
+  reportsFailure,
   isNewer,
   needsRefutation,
-  stateOnHearsay,
+  resolveReportedState,
 } from './member_rules.js';
 import type {PeerIdentity} from './records.js';
 import {
@@ -27,19 +29,19 @@
 } from './silence_rules.js';
 
 const DEFAULT_FORGET_AFTER_MS = 600_000;
-const LONGEST_SUSPICION_WAIT_MS = 60_000;
-const MAX_NEWS_PER_FRAME = 24;
-const IN_TURN_PER_HEARTBEAT = 3;
+const MAX_SUSPICION_WAIT_MS = 60_000;
+const MAX_UPDATES_PER_FRAME = 24;
+const REPEATED_UPDATES_PER_HEARTBEAT = 3;
 
-/** What a {@link Membership} is made from. */
+/** Options of {@link Membership}. */
 export interface MembershipOptions extends SilenceLimits {
   readonly self: Member;
 }
 
-/** One change of the view. */
+/** One change of the view: a new member, incarnation or state. */
 export interface MemberChange {
   readonly member: Member;
-  /** Absent when it was not known. */
+  /** Absent when the member was not known before. */
   readonly previous?: Member;
 }
 
@@ -47,8 +49,8 @@
 export class Membership {
   private readonly options: Required<MembershipOptions>;
   private readonly entries = new Map<InstanceId, KnownMember>();
-  /** Rumours against members that are heard directly, for them to refute. */
-  private readonly accusations = new Map<InstanceId, Member>();
+  /** Failure reports to send to the member that they are about, to refute. */
+  private readonly failureReports = new Map<InstanceId, Member>();
   private readonly gossip = new GossipQueue();
   private selfMember: Member;
   private changes: MemberChange[] = [];
@@ -63,7 +65,7 @@
     return this.selfMember;
   }
 
-  /** How often this instance had to say that it is not failing. */
+  /** How often this instance has refuted an update about itself. */
   get refutationCount(): number {
     return this.refutations;
   }
@@ -72,7 +74,7 @@
     return this.entries.get(id)?.member;
   }
 
-  /** All known members but this instance, dead ones too. */
+  /** All known members but this instance, including dead ones. */
   others(): Member[] {
     return [...this.entries.values()].map(entry => entry.member);
   }
@@ -84,26 +86,32 @@
     return taken;
   }
 
-  /** Where this instance listens, once it does. */
+  /** Sets the address at which others reach this instance, once it listens. */
   setAddress(peerAddress: string): void {
     this.selfMember = {...this.selfMember, peerAddress};
   }
 
-  /** This instance has a new revision in force. */
+  /**
+   * Records a new revision in force at this instance. Lower ones are ignored.
+   */
   setRevision(revision: Revision): void {
     if (revision <= this.selfMember.revision) return;
     this.selfMember = {...this.selfMember, revision};
   }
 
-  /** This instance is about to stop; told as news. */
+  /**
+   * Marks this instance as leaving and queues the update for its neighbours.
+   */
   leave(): void {
-    this.raiseSelf(this.selfMember.heartbeat, 'leaving');
+    this.raiseOwnHeartbeat(this.selfMember.heartbeat, 'leaving');
   }
 
-  /** A stream to the neighbour is open. */
+  /**
+   * Records that a stream to the neighbour is open, and queues updates for it.
+   */
   openStream(hello: Hello, nowMs: number): void {
     this.gossip.open(hello.id);
-    this.greet(hello, nowMs);
+    this.mergeHello(hello, nowMs);
     if (hello.knownMembers < this.entries.size + 1) {
       this.gossip.addFor(hello.id, this.entries.keys());
     }
@@ -114,15 +122,18 @@
     this.gossip.close(neighbour);
   }
 
-  /** A frame came from the instance itself: it runs, whatever is said. */
-  hear(from: PeerIdentity, revision: Revision, nowMs: number): void {
+  /**
+   * Records a frame from the instance itself: it is alive, whatever gossip
+   * says.
+   */
+  noteFrame(from: PeerIdentity, revision: Revision, nowMs: number): void {
     const entry = this.entries.get(from.id);
     if (entry?.member.incarnation !== from.incarnation) return;
-    entry.heardMs = nowMs;
+    entry.lastHeardMs = nowMs;
     entry.suspicionWaitMs = this.options.suspectAfterMs;
     const {state} = entry.member;
     if (state === 'suspect' || state === 'dead') {
-      this.accusations.set(from.id, entry.member);
+      this.failureReports.set(from.id, entry.member);
       this.replace(entry, {...entry.member, state: 'alive'}, nowMs);
     }
     if (revision > entry.member.revision) {
@@ -131,18 +142,18 @@
     }
   }
 
-  /** Takes in what another instance says. */
+  /** Merges the updates that another instance has sent. */
   merge(updates: readonly Member[], from: InstanceId, nowMs: number): void {
-    for (const told of updates) {
-      if (told.id === this.selfMember.id) this.mergeSelf(told);
-      else this.mergeOther(told, from, nowMs);
+    for (const update of updates) {
+      if (update.id === this.selfMember.id) this.mergeSelf(update);
+      else this.mergeOther(update, from, nowMs);
     }
   }
 
   /**
-   * Moves on with time. `watched` are the members whose frames are expected;
-   * `spared` those whose silent stream is just being replaced, which are not
-   * suspected yet.
+   * Applies the state changes that are due. `watched` are the members whose
+   * frames are expected; `exempt` are those whose stream is just being
+   * replaced, which are skipped.
    *
    * @example
    * membership.tick(nowMs, new Set(neighbours), new Set());
@@ -150,32 +161,43 @@
   tick(
     nowMs: number,
     watched: ReadonlySet<InstanceId>,
-    spared: ReadonlySet<InstanceId>,
+    exempt: ReadonlySet<InstanceId>,
   ): void {
     for (const [id, entry] of this.entries) {
-      if (!watched.has(id)) entry.watchedMs = undefined;
-      else entry.watchedMs ??= nowMs;
-      if (!spared.has(id)) this.judge(entry, nowMs);
+      if (!watched.has(id)) entry.watchedSinceMs = undefined;
+      else entry.watchedSinceMs ??= nowMs;
+      if (!exempt.has(id)) this.applySilenceVerdict(entry, nowMs);
     }
   }
 
-  /** Whether there is news for the neighbour. */
-  hasNews(neighbour: InstanceId): boolean {
-    return this.accusations.has(neighbour) || this.gossip.hasUrgent(neighbour);
+  /**
+   * Whether updates wait for the neighbour that warrant a frame of their own.
+   */
+  hasUrgentUpdates(neighbour: InstanceId): boolean {
+    return (
+      this.failureReports.has(neighbour) || this.gossip.hasUrgent(neighbour)
+    );
   }
 
-  /** What the next frame to the neighbour tells: a bounded number. */
+  /**
+   * Takes the updates for the next frame to the neighbour: a bounded number.
+   */
   takeUpdates(neighbour: InstanceId, isHeartbeat: boolean): Member[] {
-    const subjects = new Set(this.gossip.take(neighbour, MAX_NEWS_PER_FRAME));
-    if (isHeartbeat && subjects.size < MAX_NEWS_PER_FRAME) {
+    const subjects = new Set(
+      this.gossip.take(neighbour, MAX_UPDATES_PER_FRAME),
+    );
+    if (isHeartbeat && subjects.size < MAX_UPDATES_PER_FRAME) {
       const all = [...this.entries.keys()];
-      const more = this.gossip.takeInTurn(all, IN_TURN_PER_HEARTBEAT);
+      const more = this.gossip.takeRoundRobin(
+        all,
+        REPEATED_UPDATES_PER_HEARTBEAT,
+      );
       for (const subject of more) subjects.add(subject);
     }
     const updates: Member[] = [];
-    const accusation = this.accusations.get(neighbour);
-    this.accusations.delete(neighbour);
-    if (accusation !== undefined) updates.push(accusation);
+    const failureReport = this.failureReports.get(neighbour);
+    this.failureReports.delete(neighbour);
+    if (failureReport !== undefined) updates.push(failureReport);
     for (const subject of subjects) {
       if (subject === neighbour) continue;
       const member = this.describe(subject);
@@ -188,23 +210,26 @@
     return id === this.selfMember.id ? this.selfMember : this.get(id);
   }
 
-  private raiseSelf(above: number, state: Member['state']): void {
+  private raiseOwnHeartbeat(above: number, state: Member['state']): void {
     this.selfMember = {...this.selfMember, heartbeat: above + 1, state};
     this.gossip.add(this.selfMember.id);
   }
 
-  private mergeSelf(told: Member): void {
-    if (!needsRefutation(told, this.selfMember)) return;
+  private mergeSelf(update: Member): void {
+    if (!needsRefutation(update, this.selfMember)) return;
     this.refutations += 1;
-    this.raiseSelf(told.heartbeat, this.selfMember.state);
+    this.raiseOwnHeartbeat(update.heartbeat, this.selfMember.state);
   }
 
-  /** Who opens a stream is there; first-hand, so it overrules every rumour. */
-  private greet(hello: Hello, nowMs: number): void {
+  /**
+   * A hello comes from the instance itself, so it overrides all gossip about
+   * it.
+   */
+  private mergeHello(hello: Hello, nowMs: number): void {
     const {id, incarnation, dataCentre, peerAddress, heartbeat} = hello;
     const known = this.entries.get(id);
     if (known?.member.incarnation === incarnation) return;
-    if (known !== undefined) this.accusations.set(id, known.member);
+    if (known !== undefined) this.failureReports.set(id, known.member);
     const member: Member = {
       id,
       incarnation,
@@ -218,12 +243,12 @@
     this.gossip.add(id);
   }
 
-  private insert(member: Member, heardMs: number, nowMs: number): void {
+  private insert(member: Member, lastHeardMs: number, nowMs: number): void {
     const previous = this.entries.get(member.id);
     this.entries.set(member.id, {
       member,
-      heardMs,
-      refutedMs: -Infinity,
+      lastHeardMs,
+      lastRefutedMs: -Infinity,
       suspicionWaitMs: this.options.suspectAfterMs,
       sinceMs: nowMs,
     });
@@ -238,54 +263,54 @@
     this.changes.push({member, previous});
   }
 
-  private mergeOther(told: Member, from: InstanceId, nowMs: number): void {
-    const entry = this.entries.get(told.id);
+  private mergeOther(update: Member, from: InstanceId, nowMs: number): void {
+    const entry = this.entries.get(update.id);
     if (entry === undefined) {
-      // Dead ones that all have forgotten must not come back by gossip.
-      if (told.state === 'dead') return;
-      this.insert(told, -Infinity, nowMs);
-      this.gossip.add(told.id, from);
+      // Gossip must not bring back dead members that have been forgotten.
+      if (update.state === 'dead') return;
+      this.insert(update, -Infinity, nowMs);
+      this.gossip.add(update.id, from);
       return;
     }
     const known = entry.member;
-    if (!isNewer(told, known)) {
-      if (told.incarnation !== known.incarnation) return;
-      if (told.revision <= known.revision) return;
-      entry.member = {...known, revision: told.revision};
-      this.gossip.add(told.id, from, 'with_next_frame');
+    if (!isNewer(update, known)) {
+      if (update.incarnation !== known.incarnation) return;
+      if (update.revision <= known.revision) return;
+      entry.member = {...known, revision: update.revision};
+      this.gossip.add(update.id, from, 'with_next_frame');
       return;
     }
-    if (told.incarnation !== known.incarnation) {
-      if (told.state === 'dead') return;
-      this.insert(told, -Infinity, nowMs);
+    if (update.incarnation !== known.incarnation) {
+      if (update.state === 'dead') return;
+      this.insert(update, -Infinity, nowMs);
     } else {
-      this.mergeNewer(entry, told, nowMs);
+      this.mergeNewer(entry, update, nowMs);
     }
-    this.gossip.add(told.id, from);
+    this.gossip.add(update.id, from);
   }
 
-  private mergeNewer(entry: KnownMember, told: Member, nowMs: number): void {
+  private mergeNewer(entry: KnownMember, update: Member, nowMs: number): void {
     const known = entry.member;
-    const isAgainst = isAccusation(told);
-    if (isAgainst && this.isHeard(entry, nowMs)) {
-      this.accusations.set(told.id, told);
+    const isFailureReport = reportsFailure(update);
+    if (isFailureReport && this.isHeardRecently(entry, nowMs)) {
+      this.failureReports.set(update.id, update);
       return;
     }
-    if (known.state === 'suspect' && !isAgainst) {
-      entry.refutedMs = nowMs;
+    if (known.state === 'suspect' && !isFailureReport) {
+      entry.lastRefutedMs = nowMs;
       const longerMs = entry.suspicionWaitMs * 2;
-      entry.suspicionWaitMs = Math.min(longerMs, LONGEST_SUSPICION_WAIT_MS);
+      entry.suspicionWaitMs = Math.min(longerMs, MAX_SUSPICION_WAIT_MS);
     }
-    const state = stateOnHearsay(told, known);
-    const revision = Math.max(told.revision, known.revision) as Revision;
-    this.replace(entry, {...told, revision, state}, nowMs);
+    const state = resolveReportedState(update, known);
+    const revision = Math.max(update.revision, known.revision) as Revision;
+    this.replace(entry, {...update, revision, state}, nowMs);
   }
 
-  private isHeard(entry: KnownMember, nowMs: number): boolean {
-    return nowMs - entry.heardMs <= this.options.suspectAfterMs;
+  private isHeardRecently(entry: KnownMember, nowMs: number): boolean {
+    return nowMs - entry.lastHeardMs <= this.options.suspectAfterMs;
   }
 
-  private judge(entry: KnownMember, nowMs: number): void {
+  private applySilenceVerdict(entry: KnownMember, nowMs: number): void {
     const {member} = entry;
     const verdict = judgeSilence(entry, nowMs, this.options);
     if (verdict === 'keep') return;
@@ -294,7 +319,7 @@
       return;
     }
     this.replace(entry, {...member, state: verdict}, nowMs);
-    // Others have heard of the suspicion, and wait for its end by themselves.
+    // The others know of the suspicion and time it out by themselves.
     if (member.state !== 'suspect') this.gossip.add(member.id);
   }
 }
--- a/packages/peer/src/network_options.ts
+++ b/packages/peer/src/network_options.ts
@@ -1,4 +1,4 @@
-/** What a network is made from, and whom it tells what. */
+/** Options and handler types of a network. */
 
 import {randomBytes} from 'node:crypto';
 import type {EntrySettings} from '@snipestage/settings/entry_settings.js';
@@ -15,12 +15,12 @@
 
 const INCARNATION_BYTES = 8;
 
-/** Told for each record, in the order of its sender. */
+/** Called for each record, in the order in which its sender queued them. */
 export type RecordHandler = (record: PeerRecord, from: PeerIdentity) => void;
 export type MemberChangeHandler = (changes: readonly MemberChange[]) => void;
-/** Told when a peer is seen to have a revision in force. */
+/** Called when a frame shows which revision a peer has in force. */
 export type RevisionHandler = (revision: Revision, from: InstanceId) => void;
-/** Told of records that were not handed to the connection. */
+/** Called with records that were not written to a stream. */
 export type UndeliveredHandler = (
   instance: InstanceId,
   records: readonly PeerRecord[],
@@ -30,12 +30,12 @@
   fields: Readonly<Record<string, unknown>>,
 ) => void;
 
-/** What a {@link PeerNetwork} is made from. */
+/** Options of {@link PeerNetwork}. */
 export interface PeerNetworkOptions {
   readonly settings: EntrySettings['peer'];
   readonly id: InstanceId;
   readonly dataCentre: DataCentreId;
-  /** Default: a random one. */
+  /** Default: a random one, see {@link createIncarnation}. */
   readonly incarnation?: Incarnation;
   readonly random?: () => number;
   readonly readMonotonicMs?: () => number;
@@ -44,7 +44,7 @@
 }
 
 /**
- * Random name of one life of an instance.
+ * A random name for an incarnation of an instance.
  *
  * @example
  * const incarnation = createIncarnation();
@@ -54,7 +54,8 @@
 }
 
 /**
- * This instance as it starts; its address is known once it listens.
+ * The member entry of this instance at its start; its address is set once it
+ * listens.
  *
  * @example
  * const self = describeStart(options, createIncarnation());
--- a/packages/peer/src/network_parts.ts
+++ b/packages/peer/src/network_parts.ts
@@ -1,6 +1,6 @@
 /**
- * The parts of a network, made and joined: what each is told when a link opens,
- * carries a frame or ends, and when a stranger calls.
+ * Creates the parts of a network and wires them: which part is called when a
+ * link opens, carries a frame or ends, and when a caller fails authentication.
  */
 
 import type {ServiceDefinition} from '@grpc/grpc-js';
@@ -11,7 +11,7 @@
 import {FrameCounter} from './frame_counter.js';
 import {FrameReceiver} from './frame_receiver.js';
 import {FrameSender} from './frame_sender.js';
-import {LinkKeeper} from './link_keeper.js';
+import {LinkManager} from './link_manager.js';
 import {MemberDialler} from './member_dialler.js';
 import {MemberWatch} from './member_watch.js';
 import {Membership} from './membership.js';
@@ -29,10 +29,10 @@
 import {RumourLog} from './rumour_log.js';
 
 /**
- * Holds the parts; who uses them starts the listener and lets time pass.
+ * Holds the parts. The caller starts the listener and runs the periodic work.
  *
  * @example
- * const {listener, keeper} = new NetworkParts(options);
+ * const {listener, linkManager} = new NetworkParts(options);
  * await listener.listen();
  */
 export class NetworkParts {
@@ -43,14 +43,14 @@
   readonly rumours: RumourLog;
   readonly membership: Membership;
   readonly listener: PeerListener;
-  readonly keeper: LinkKeeper;
+  readonly linkManager: LinkManager;
   readonly watch: MemberWatch;
   readonly sender: FrameSender;
   readonly dialler: MemberDialler;
   private readonly receiver: FrameReceiver;
   private readonly settings: EntrySettings['peer'];
   private readonly id: InstanceId;
-  private strangers = 0;
+  private unauthenticatedCalls = 0;
 
   constructor(options: PeerNetworkOptions) {
     const {settings, id} = options;
@@ -73,23 +73,28 @@
       deadAfterMs: settings.deadAfterMs,
     });
     this.listener = this.createListener(credentials, service);
-    this.keeper = this.createKeeper(credentials, service, random);
-    const {membership, keeper, handlers} = this;
-    this.watch = new MemberWatch({membership, keeper, handlers});
+    this.linkManager = this.createLinkManager(credentials, service, random);
+    const {membership, linkManager, handlers} = this;
+    this.watch = new MemberWatch({membership, linkManager, handlers});
     this.sender = new FrameSender({
       membership,
-      keeper,
+      linkManager,
       tickMs,
       heartbeatMs,
       readNowMs: () => this.clock.readMs(),
     });
     this.receiver = this.createReceiver();
-    this.dialler = new MemberDialler({membership, keeper, random, heartbeatMs});
+    this.dialler = new MemberDialler({
+      membership,
+      linkManager,
+      random,
+      heartbeatMs,
+    });
   }
 
-  /** How many callers didn't know the shared secret. */
+  /** How many streams were refused for a wrong shared secret. */
   get strangersRefused(): number {
-    return this.strangers;
+    return this.unauthenticatedCalls;
   }
 
   private createListener(
@@ -105,28 +110,28 @@
       service,
       heartbeatMs,
       onAccepted: call => {
-        this.keeper.accept(
-          new AcceptedLink(this.keeper, call, this.clock.readMs()),
+        this.linkManager.accept(
+          new AcceptedLink(this.linkManager, call, this.clock.readMs()),
         );
       },
-      onStranger: address => this.noteStranger(address),
+      onUnauthenticated: address => this.noteUnauthenticated(address),
     });
   }
 
-  private createKeeper(
+  private createLinkManager(
     credentials: PeerCredentials,
     service: ServiceDefinition,
     random: () => number,
-  ): LinkKeeper {
+  ): LinkManager {
     const {sharedSecret, heartbeatMs} = this.settings;
-    return new LinkKeeper({
+    return new LinkManager({
       events: {
         readNowMs: () => this.clock.readMs(),
         describeSelf: () => this.describeSelf(),
-        sayHello: link => this.sayHello(link),
+        sendHello: link => this.sendHello(link),
         onOpened: (contact, hello) => this.noteOpened(contact, hello),
         onFrame: (contact, from, frame) =>
-          this.receiver.take(contact, from, frame),
+          this.receiver.receive(contact, from, frame),
         onLost: (contact, reason) => this.noteLost(contact, reason),
         onUnreachable: contact => this.watch.dropOutgoing(contact),
         log: this.log,
@@ -158,7 +163,7 @@
     return {id, incarnation, dataCentre, peerAddress, heartbeat, knownMembers};
   }
 
-  private sayHello(link: PeerLink): void {
+  private sendHello(link: PeerLink): void {
     const hello = this.describeSelf();
     const {revision} = this.membership.self;
     const frame = {hello, revision, members: [], records: []};
@@ -168,22 +173,23 @@
   private noteOpened(contact: PeerContact, hello: Hello): void {
     this.membership.openStream(hello, this.clock.readMs());
     this.watch.publishChanges();
-    if (contact.hasOutgoing || this.membership.hasNews(contact.id)) {
+    if (contact.hasOutgoing || this.membership.hasUrgentUpdates(contact.id)) {
       this.sender.schedule(true);
     }
   }
 
   private noteLost(contact: PeerContact, reason: LinkEnd): void {
     this.membership.closeStream(contact.id);
-    // The higher id waits a beat, lest both dial at the same moment.
-    const isTurn =
+    // Only the lower id dials at once, so that both do not dial at the same
+    // moment; the higher one waits a heartbeat interval.
+    const isOwnTurn =
       this.watch.neighbours.has(contact.id) && this.id < contact.id;
-    const isWanted = isTurn || contact.hasOutgoing;
+    const isWanted = isOwnTurn || contact.hasOutgoing;
     if (reason !== 'idle' && isWanted) this.dialler.dialMember(contact.id);
   }
 
-  private noteStranger(address: string): void {
-    this.strangers += 1;
+  private noteUnauthenticated(address: string): void {
+    this.unauthenticatedCalls += 1;
     this.log('peer_refused', {address, reason: 'wrong shared secret'});
   }
 }
--- a/packages/peer/src/network_snapshot.ts
+++ b/packages/peer/src/network_snapshot.ts
@@ -1,9 +1,9 @@
-/** What the dump shows of a network; it holds no secret. */
+/** State of a network for the operator's dump; it holds no secret. */
 
 import type {Incarnation, InstanceId} from '@snipestage/types/ids.js';
 import type {Member} from '@snipestage/types/member.js';
 import type {FrameCounter} from './frame_counter.js';
-import type {LinkKeeper} from './link_keeper.js';
+import type {LinkManager} from './link_manager.js';
 import type {LinkEnd} from './peer_link.js';
 
 export interface LinkSnapshot {
@@ -16,36 +16,36 @@
 }
 
 export interface NetworkSnapshot {
-  /** Where others reach it. */
+  /** Address at which other instances reach it. */
   readonly address: string;
-  /** Where it listens. */
+  /** Address on which it listens. */
   readonly listenAddress: string;
   readonly members: readonly Member[];
-  /** With whom a stream is kept open for heartbeats and gossip. */
+  /** Instances to which a stream is kept open for heartbeats and gossip. */
   readonly neighbours: readonly InstanceId[];
   readonly links: readonly LinkSnapshot[];
   readonly framesSent: number;
   readonly framesReceived: number;
-  /** Of protobuf, without what gRPC, HTTP/2 and TCP add. */
+  /** Of protobuf, without the overhead of gRPC, HTTP/2 and TCP. */
   readonly bytesSent: number;
   readonly bytesReceived: number;
-  /** How often streams ended, by reason. */
+  /** Number of ended streams by reason. */
   readonly linkEnds: {readonly [Reason in LinkEnd]?: number};
   readonly strangersRefused: number;
   readonly refutations: number;
-  /** How long the process was frozen, in all. */
+  /** Total time during which the process was frozen. */
   readonly pausedMs: number;
 }
 
-/** What {@link describeNetwork} reads. */
+/** Input of {@link describeNetwork}. */
 export interface SnapshotSource {
-  /** Where others reach it. */
+  /** Address at which other instances reach it. */
   readonly address: string;
-  /** Where it listens. */
+  /** Address on which it listens. */
   readonly listenAddress: string;
   readonly members: readonly Member[];
   readonly neighbours: readonly InstanceId[];
-  readonly keeper: LinkKeeper;
+  readonly linkManager: LinkManager;
   readonly counter: FrameCounter;
   readonly nowMs: number;
   readonly strangersRefused: number;
@@ -58,9 +58,9 @@
  * const {framesSent, bytesSent} = network.snapshot();
  */
 export function describeNetwork(source: SnapshotSource): NetworkSnapshot {
-  const {keeper, counter, nowMs, ...rest} = source;
+  const {linkManager, counter, nowMs, ...rest} = source;
   const links: LinkSnapshot[] = [];
-  for (const {id, link} of keeper.contacts.values()) {
+  for (const {id, link} of linkManager.contacts.values()) {
     if (link === undefined) continue;
     links.push({
       peer: id,
@@ -78,6 +78,6 @@
     framesReceived: counter.framesReceived,
     bytesSent: counter.bytesSent,
     bytesReceived: counter.bytesReceived,
-    linkEnds: {...keeper.ends},
+    linkEnds: {...linkManager.ends},
   };
 }
--- a/packages/peer/src/overlay.ts
+++ b/packages/peer/src/overlay.ts
@@ -1,11 +1,12 @@
 /**
- * Which instances keep a stream open for heartbeats and gossip. Every instance
- * works it out alone from the members it knows.
+ * Selects the instances between which a stream is kept open for heartbeats and
+ * gossip. Each instance computes this alone from the members that it knows.
  *
  * Two rings in each data centre, in unrelated orders, make a random graph of
- * degree four: whichever instances fail, the rest stays connected and news
+ * degree four: whichever instances fail, the rest stays connected and an update
  * takes few hops. A few delegates of each data centre form a third ring across
- * data centres. The cost of an instance does not grow with their number.
+ * data centres. The cost of an instance does not grow with the number of
+ * instances.
  */
 
 import {hashText} from '@snipestage/policy/rendezvous.js';
@@ -17,7 +18,7 @@
 const DELEGATES_PER_DATA_CENTRE = 3;
 
 /**
- * The instances next to `self`. Dead members are no part of the graph.
+ * The instances next to `self` in the graph, which excludes dead members.
  *
  * @example
  * const neighbours = findNeighbours(self, members);
@@ -52,7 +53,9 @@
   return [before, after];
 }
 
-/** The first delegate of each data centre, then each second, and so on. */
+/**
+ * The first delegate of each data centre, then the second of each, and so on.
+ */
 function orderDelegates(members: readonly Member[]): Member[] {
   const dataCentres = [...new Set(members.map(member => member.dataCentre))];
   dataCentres.sort((a, b) => hashText(a) - hashText(b));
--- a/packages/peer/src/peer_contact.ts
+++ b/packages/peer/src/peer_contact.ts
@@ -1,4 +1,4 @@
-/** What this process holds for one other instance: its link and its outbox. */
+/** The link to one other instance, and the records queued for it. */
 
 import type {InstanceId} from '@snipestage/types/ids.js';
 import type {Rumour} from './frame_codec.js';
@@ -6,23 +6,26 @@
 import type {PeerRecord} from './records.js';
 
 const FIRST_BACKOFF_MS = 250;
-const LONGEST_BACKOFF_MS = 5000;
-/** When both sides dial within this time, the lower id's stream stays. */
-const SIMULTANEOUS_MS = 1000;
+const MAX_BACKOFF_MS = 5000;
+/**
+ * Of two streams opened within this time, the one that the lower id dialled
+ * stays.
+ */
+const SIMULTANEOUS_DIAL_WINDOW_MS = 1000;
 const MAX_QUEUED_RECORDS = 20_000;
 
 export class PeerContact {
-  /** The stream in use; both sides have said hello. */
+  /** The stream in use, after the hello of the other side. */
   link?: PeerLink;
-  linkedMs = -Infinity;
+  linkedAtMs = -Infinity;
   /** A stream that this process is opening. */
   dialling?: PeerLink;
   failedDials = 0;
   nextDialMs = -Infinity;
-  /** Since when a stream is wanted; absent when none is or there is one. */
-  wantedMs?: number;
-  /** A new revision is in force and has not been told. */
-  owesRevision = false;
+  /** Since when a stream is needed; absent when none is, or one is open. */
+  wantedSinceMs?: number;
+  /** Whether a new revision in force has yet to be sent. */
+  hasUnsentRevision = false;
   private records: PeerRecord[] = [];
   private rumours: Rumour[] = [];
 
@@ -36,7 +39,7 @@
     return this.link !== undefined;
   }
 
-  /** False when the outbox is full: the other side reads too slowly. */
+  /** Returns false when the queue is full: the other side reads too slowly. */
   queue(record: PeerRecord): boolean {
     if (this.records.length >= MAX_QUEUED_RECORDS) return false;
     this.records.push(record);
@@ -59,39 +62,46 @@
     return taken;
   }
 
-  /** After a dial that led to nothing: wait longer each time. */
+  /** Records a failed dial and sets the backoff, which grows each time. */
   noteFailedDial(nowMs: number, random: () => number): void {
     const backoffMs = FIRST_BACKOFF_MS * 2 ** this.failedDials;
-    const boundedMs = Math.min(backoffMs, LONGEST_BACKOFF_MS);
+    const boundedMs = Math.min(backoffMs, MAX_BACKOFF_MS);
     this.nextDialMs = nowMs + boundedMs * (0.5 + random());
     this.failedDials += 1;
   }
 
   /**
-   * Takes a stream over which the other side said hello. Returns the one that
-   * has to end, which may be the new one.
+   * Adopts a stream over which the other side has sent its hello. Returns the
+   * stream that has to end, if any, which may be the new one.
    *
-   * Both may have dialled at the same time. If each ended the stream that it
-   * had first, both would go and the two would dial again, for ever; so both
-   * keep the one that the lower id opened. A stream that has stood for a while
-   * yields to a new one: the other side has found it silent.
+   * Both sides may have dialled at the same time. If each ended the stream that
+   * it had first, both streams would end and the two would dial again, for
+   * ever; so both keep the one that the lower id opened. A stream that has been
+   * open for a while is replaced by a new one: the other side has found it
+   * silent.
    */
   adopt(link: PeerLink, self: InstanceId, nowMs: number): PeerLink | undefined {
     if (this.dialling === link) this.dialling = undefined;
     const old = this.link;
-    const isSameLife =
+    const isSameIncarnation =
       old?.peer?.incarnation === link.peer?.incarnation &&
       old?.isDialled !== link.isDialled;
-    const isSimultaneous = nowMs - this.linkedMs < SIMULTANEOUS_MS;
-    const isLoser = link.isDialled !== self < this.id;
-    if (old !== undefined && isSameLife && isSimultaneous && isLoser) {
+    const isSimultaneous =
+      nowMs - this.linkedAtMs < SIMULTANEOUS_DIAL_WINDOW_MS;
+    const isFromHigherId = link.isDialled !== self < this.id;
+    if (
+      old !== undefined &&
+      isSameIncarnation &&
+      isSimultaneous &&
+      isFromHigherId
+    ) {
       return link;
     }
     this.link = link;
-    this.linkedMs = nowMs;
+    this.linkedAtMs = nowMs;
     this.failedDials = 0;
     this.nextDialMs = -Infinity;
-    this.wantedMs = undefined;
+    this.wantedSinceMs = undefined;
     return old;
   }
 }
--- a/packages/peer/src/peer_credentials.ts
+++ b/packages/peer/src/peer_credentials.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps strangers from speaking as a peer: each side proves that it knows the
- * shared secret without sending it, and TLS may be laid below.
+ * Authenticates peers: each side proves that it knows the shared secret without
+ * sending it. TLS below that is optional.
  */
 
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
@@ -31,7 +31,7 @@
 }
 
 /**
- * What the caller sends when it opens a stream.
+ * The metadata with which a caller proves itself when it opens a stream.
  *
  * @example
  * const call = client.exchange(proveCaller(secret));
@@ -45,8 +45,8 @@
 }
 
 /**
- * The listener's own proof for the caller, or nothing when the caller's does
- * not hold.
+ * The metadata with the listener's own proof, or undefined when the proof of
+ * the caller is wrong.
  *
  * @example
  * const answer = answerCaller(secret, call.metadata);
@@ -66,8 +66,8 @@
 }
 
 /**
- * Whether the listener knows the secret as well: an address may have gone to
- * another firm's process since the platform's list was made.
+ * Whether the listener knows the secret too: since the platform's list was
+ * made, the address may have been reassigned to a process of another firm.
  *
  * @example
  * call.on('metadata', answer => isListenerProven(secret, sent, answer));
@@ -88,7 +88,8 @@
 }
 
 /**
- * Reads the TLS files of the settings; without any the streams are plain.
+ * Reads the TLS files of the settings; without settings, streams are plain
+ * text.
  *
  * @example
  * const {channel, server} = readPeerCredentials(settings.peer.tls);
@@ -105,13 +106,13 @@
   const authority = readFileSync(tls.authorityFile);
   const key = readFileSync(tls.keyFile);
   const certificate = readFileSync(tls.certificateFile);
-  const mustShowCertificate = true;
+  const requireClientCertificate = true;
   return {
     channel: ChannelCredentials.createSsl(authority, key, certificate),
     server: ServerCredentials.createSsl(
       authority,
       [{private_key: key, cert_chain: certificate}],
-      mustShowCertificate,
+      requireClientCertificate,
     ),
   };
 }
--- a/packages/peer/src/peer_faults.test.ts
+++ b/packages/peer/src/peer_faults.test.ts
@@ -14,7 +14,7 @@
   waitUntil,
 } from './test_support/networks.js';
 import {LOOP_CLOCK} from './test_support/loop_clock.js';
-import {Relay, type Passage} from './test_support/relay.js';
+import {Relay, type Forwarding} from './test_support/relay.js';
 
 const CHILD = fileURLToPath(
   new URL('./test_support/network_child.js', import.meta.url),
@@ -27,8 +27,8 @@
   },
 } as const;
 
-/** A network that the others reach only through the relay. */
-async function startBehind(
+/** Starts a network that others reach only through the relay. */
+async function startBehindRelay(
   t: ExecutionContext,
   relay: Relay,
   id: string,
@@ -43,7 +43,7 @@
   return network;
 }
 
-/** All states in which the network has seen the other instances. */
+/** Records all states that the network publishes of other instances. */
 function noteStates(network: PeerNetwork): MemberState[] {
   const states: MemberState[] = [];
   network.onMembersChanged(changes => {
@@ -62,13 +62,13 @@
   return network.members().find(member => member.id === id)!.state;
 }
 
-// A firewall between two instances forgets their connection: what either sends
-// is dropped without a word, while a new connection would work. A user notices
-// requests that wait for a permit until their deadline.
+// A firewall between two instances drops the state of their connection: it
+// discards what either sends, while a new connection would work. Requests would
+// wait for a permit until their deadline.
 test('a silent connection is replaced by one on a new socket', async t => {
   const relays = [new Relay(), new Relay()];
-  const first = await startBehind(t, relays[0], 'akl-a-1');
-  const second = await startBehind(t, relays[1], 'akl-a-2');
+  const first = await startBehindRelay(t, relays[0], 'akl-a-1');
+  const second = await startBehindRelay(t, relays[1], 'akl-a-2');
   const states = [...noteStates(first), ...noteStates(second)];
   let received = 0;
   second.onRecords(() => (received += 1));
@@ -76,13 +76,13 @@
   await waitUntil('a stream', () => first.isConnected(second.self().id));
   const before = relays.flatMap(relay => relay.connections);
   const endsBefore = countEnds(first);
-  for (const relay of relays) relay.setPassage('none');
+  for (const relay of relays) relay.setForwarding('none');
   const silentEnds = () =>
     (first.snapshot().linkEnds.silent ?? 0) +
     (second.snapshot().linkEnds.silent ?? 0);
   await waitUntil('silence noticed', () => silentEnds() > 0);
-  // The first may hear of it later than the second; what it sends until then is
-  // lost with the stream.
+  // The first may notice this later than the second; what it sends until then
+  // is lost with the stream.
   await waitUntil('the old stream ended', () => countEnds(first) > endsBefore);
   await waitUntil('a new stream', () => first.isConnected(second.self().id));
   first.send(second.self().id, GRANT);
@@ -90,30 +90,35 @@
   const after = relays.flatMap(relay => relay.connections);
   t.true(after.length > before.length);
   t.false(states.includes('dead'));
-  // Nor does the lost connection keep its socket.
+  // The sockets of the lost connection are closed.
   await waitUntil('old sockets closed', () =>
     before.every(({caller}) => caller.destroyed),
   );
 });
 
-interface ThreeBehindRelays {
+interface NetworksBehindRelays {
   readonly networks: PeerNetwork[];
-  /** Changes what passes between the third instance and the others. */
-  setThird(passages: readonly Passage[]): void;
+  /**
+   * Sets, by relay, the forwarding between the third instance and the others.
+   */
+  setThirdForwarding(forwardings: readonly Forwarding[]): void;
 }
 
-/** Three that know each other; the first two keep their own connection. */
-async function startThree(t: ExecutionContext): Promise<ThreeBehindRelays> {
+/** Starts three members; cuts spare the connection of the first two. */
+async function startThreeNetworks(
+  t: ExecutionContext,
+): Promise<NetworksBehindRelays> {
   const relays = [new Relay(), new Relay(), new Relay()];
   const [first, second] = [
-    await startBehind(t, relays[0], 'akl-a-1'),
-    await startBehind(t, relays[1], 'akl-a-2'),
+    await startBehindRelay(t, relays[0], 'akl-a-1'),
+    await startBehindRelay(t, relays[1], 'akl-a-2'),
   ];
   first.seed(listOf([second]));
   await waitUntil('a stream', () => first.isConnected(second.self().id));
   const kept = new Set(relays.flatMap(relay => relay.connections));
-  // With the lowest id its own dials hold, so that each relay sees whose they are.
-  const third = await startBehind(t, relays[2], 'akl-a-0');
+  // It has the lowest id, so that the streams that it dials are kept: those
+  // through the relays of the other two.
+  const third = await startBehindRelay(t, relays[2], 'akl-a-0');
   const networks = [first, second, third];
   third.seed(listOf([first, second]));
   for (const network of networks) {
@@ -122,60 +127,59 @@
   await waitUntil('streams of the third', () =>
     [first, second].every(other => third.isConnected(other.self().id)),
   );
-  const setThird = (passages: readonly Passage[]) => {
+  const setThirdForwarding = (forwardings: readonly Forwarding[]) => {
     for (const [n, relay] of relays.entries()) {
-      relay.passageOfNew = passages[n];
+      relay.newConnectionForwarding = forwardings[n];
       for (const connection of relay.connections) {
-        if (!kept.has(connection)) connection.passage = passages[n];
+        if (!kept.has(connection)) connection.forwarding = forwardings[n];
       }
     }
   };
-  return {networks, setThird};
+  return {networks, setThirdForwarding};
 }
 
-// An instance loses its network for a while, in both directions and for new
-// connections too. The others have to do without it, and it without them; when
-// the network is back, nobody restarts anything and all have to meet again.
+// An instance is cut off for a while, in both directions and for new
+// connections too. The two sides hold each other dead; when the network is
+// back, all must connect again without a restart.
 test('an instance that was cut off is found again', async t => {
-  const {networks, setThird} = await startThree(t);
+  const {networks, setThirdForwarding} = await startThreeNetworks(t);
   const [first, second, third] = networks;
-  setThird(['none', 'none', 'none']);
+  setThirdForwarding(['none', 'none', 'none']);
   for (const other of [first, second]) {
     await waitUntil('found dead', () => stateIn(other, third) === 'dead');
   }
   await waitUntil('alone', () => aliveIn(third).length === 1);
   t.deepEqual(aliveIn(first), ['akl-a-1', 'akl-a-2']);
-  setThird(['both', 'both', 'both']);
+  setThirdForwarding(['both', 'both', 'both']);
   for (const network of networks) {
     await waitUntil('all again', () => aliveIn(network).length === 3);
   }
 });
 
-// What one instance sends to another is lost, while all else passes. The one
-// that hears nothing would hold the other dead, and the two would tell the
-// rest opposite things; one would see owners of cells change back and forth.
-test('a one-way cut between two is outvoted by the third', async t => {
-  const {networks, setThird} = await startThree(t);
+// Frames from one instance to another are lost, all others are delivered. The
+// receiver would hold the sender dead, the two would publish opposite states,
+// and owners of cells would change back and forth.
+test('a one-way cut between two instances is refuted through the third', async t => {
+  const {networks, setThirdForwarding} = await startThreeNetworks(t);
   const [first, second, third] = networks;
   const states = networks.map(noteStates);
   // The third reaches the second, but hears nothing from it.
-  setThird(['both', 'to_target', 'to_caller']);
+  setThirdForwarding(['both', 'to_target', 'to_caller']);
   const silentEnds = () => third.snapshot().linkEnds.silent ?? 0;
   await waitUntil('silence noticed', () => silentEnds() > 0);
   await waitUntil('suspicion', () => second.snapshot().refutations > 0);
   await waitUntil('refutation', () => stateIn(third, second) === 'alive');
   t.false(states.flat().includes('dead'));
   t.is(stateIn(first, third), 'alive');
-  setThird(['both', 'both', 'both']);
+  setThirdForwarding(['both', 'both', 'both']);
   await waitUntil('a stream', () => third.isConnected(second.self().id));
   t.false(states.flat().includes('dead'));
 });
 
-// An instance is stopped by its hypervisor for longer than it takes to be held
-// dead, and goes on as if nothing had been. It must be taken back; and it must
-// not hold all others dead because it has heard nothing from them meanwhile,
-// which would move every role to it.
-test('a frozen process comes back and suspects nobody', async t => {
+// A hypervisor stops an instance for longer than it takes to be held dead, then
+// resumes it. It must become a member again, and must not hold all others dead
+// for having received nothing from them, which would move every role to it.
+test('a frozen process becomes a member again and suspects no other', async t => {
   const first = await startNetwork(t, 'akl-a-1');
   const second = await startNetwork(t, 'akl-a-2');
   first.seed(listOf([second]));
@@ -209,9 +213,9 @@
 });
 
 // A whole machine stands still for a while, so that nothing waits in its
-// sockets when it goes on: the clock has jumped and all streams look silent.
-// Were they replaced and the others suspected, each such pause would disturb
-// all instances.
+// sockets when it resumes: its clock has jumped and all streams look silent. If
+// it replaced them and suspected the others, each such pause would disturb all
+// instances.
 test('a pause in which nothing arrived breaks no stream', async t => {
   let jumpMs = 0;
   const first = await startNetwork(t, 'akl-a-1', {
@@ -224,14 +228,14 @@
   const endsBefore = countEnds(first);
   jumpMs = 20_000;
   const sentBefore = first.snapshot().framesSent;
-  const beats = () => first.snapshot().framesSent - sentBefore;
-  await waitUntil('some heartbeats', () => beats() >= 4);
+  const framesSinceJump = () => first.snapshot().framesSent - sentBefore;
+  await waitUntil('some heartbeats', () => framesSinceJump() >= 4);
   t.deepEqual(states, []);
   t.is(countEnds(first), endsBefore);
   t.true(first.snapshot().pausedMs > 19_000);
 });
 
-/** Beats that leave time for a slow relay. */
+/** Heartbeats that leave time for a slow relay. */
 const SLOW_SETTINGS = {
   ...FAST_SETTINGS,
   heartbeatMs: 400,
@@ -240,15 +244,15 @@
 };
 
 // Two instances are far from each other or busy: each step of opening a stream
-// takes a while, and the steps together more than two beats. Were all of them
-// given that time together, every dial would be given up shortly before it is
-// done. The two would never meet; requests of one would not get at the permits
-// of the other.
-test('instances that answer slowly still meet', async t => {
+// is slow, and the steps together take more than two heartbeat intervals. With
+// one time-out of that length for all steps, every dial would be abandoned
+// shortly before it succeeds, and requests at one would get no permits of the
+// other.
+test('instances that answer slowly still connect', async t => {
   const relays = [new Relay(), new Relay()];
   for (const {delayMs} of relays) delayMs.to_target = delayMs.to_caller = 300;
-  const first = await startBehind(t, relays[0], 'akl-a-1', SLOW_SETTINGS);
-  const second = await startBehind(t, relays[1], 'akl-a-2', SLOW_SETTINGS);
+  const first = await startBehindRelay(t, relays[0], 'akl-a-1', SLOW_SETTINGS);
+  const second = await startBehindRelay(t, relays[1], 'akl-a-2', SLOW_SETTINGS);
   let received = 0;
   second.onRecords(() => (received += 1));
   first.seed(listOf([second]));
@@ -259,17 +263,18 @@
 });
 
 // Two instances dial each other at the same moment. One sends over the stream
-// that will have to go, since it can't know of the better one yet, and its
-// records are long under way. Were the stream ended meanwhile, they would be
-// lost: a request would wait for a permit that nobody heard it ask for.
-test('a record under way on a stream that yields to another arrives', async t => {
+// that will be dropped as the duplicate, since it does not know the other one
+// yet, and its records are in transit for long. If the stream were ended
+// meanwhile, they would be lost, and a request would wait for a permit whose
+// owner never received the request for it.
+test('a record in transit on a duplicate stream arrives', async t => {
   const relays = [new Relay(), new Relay()];
   const [toFirst, toSecond] = relays;
-  const first = await startBehind(t, toFirst, 'akl-a-1', SLOW_SETTINGS);
-  const second = await startBehind(t, toSecond, 'akl-a-2', SLOW_SETTINGS);
+  const first = await startBehindRelay(t, toFirst, 'akl-a-1', SLOW_SETTINGS);
+  const second = await startBehindRelay(t, toSecond, 'akl-a-2', SLOW_SETTINGS);
   let received = 0;
   second.onRecords(() => (received += 1));
-  // What the lower id dials takes the place of the other stream, but later.
+  // The stream that the lower id dials replaces the other one, but later.
   toSecond.delayMs.to_target = toSecond.delayMs.to_caller = 300;
   first.seed(listOf([second]));
   second.seed(listOf([first]));
--- a/packages/peer/src/peer_link.ts
+++ b/packages/peer/src/peer_link.ts
@@ -1,4 +1,4 @@
-/** One stream to one process, whoever dialled it. */
+/** One stream to another process, dialled or accepted. */
 
 import type {Frame__Output as WireFrameOutput} from './generated/snipestage/peer/Frame.js';
 import type {Frame as WireFrame} from './generated/snipestage/peer/Frame.js';
@@ -27,7 +27,7 @@
   | 'duplicate'
   | 'idle';
 
-/** Whom a link tells. */
+/** Receives the events of a link. */
 export interface LinkOwner {
   onFrame(link: PeerLink, frame: PeerFrame): void;
   onEnd(link: PeerLink, reason: LinkEnd, detail: string): void;
@@ -35,14 +35,16 @@
 
 /** A two-way stream of frames; {@link end} frees what it holds. */
 export abstract class PeerLink {
-  /** Whether this process opened it. */
+  /** Whether this process opened the stream. */
   abstract readonly isDialled: boolean;
-  /** Set once the other side has said who it is. */
+  /** Identity of the other side, set once its hello has arrived. */
   peer?: Hello;
-  /** When the other side last gave a sign; at first when it was opened. */
+  /** When the other side last showed activity; at first when it was opened. */
   lastHeardMs: number;
   lastSentMs = -Infinity;
-  /** When a record last went over it, either way; absent when none has. */
+  /**
+   * When a record last went over it in either direction; absent before any has.
+   */
   lastRecordMs?: number;
   framesSent = 0;
   framesReceived = 0;
@@ -57,7 +59,9 @@
     this.lastHeardMs = openedMs;
   }
 
-  /** Tells the other side that no more frames come, where that can be told. */
+  /**
+   * Signals to the other side that no more frames come, where gRPC allows it.
+   */
   abstract finishSending(): void;
 
   /** Ends the stream and closes its socket. */
@@ -68,8 +72,8 @@
   }
 
   /**
-   * Whether a frame may be written: a receiver that reads too slowly would
-   * otherwise have its frames pile up in this process's memory.
+   * Whether a frame may be written. False also under back-pressure: frames for
+   * a receiver that reads too slowly would pile up in this process's memory.
    */
   get isWritable(): boolean {
     return !this.hasEnded && !this.isFull && this.peer !== undefined;
@@ -83,7 +87,9 @@
     this.isFull = !this.stream.write(encodeFrame(frame));
   }
 
-  /** Ends it from this side. */
+  /**
+   * Ends the stream and reports it to the owner; no effect when it has ended.
+   */
   end(reason: LinkEnd, detail = ''): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
--- a/packages/peer/src/peer_listener.ts
+++ b/packages/peer/src/peer_listener.ts
@@ -1,4 +1,4 @@
-/** Takes the streams that other instances open. */
+/** Accepts the streams that other instances open. */
 
 import {
   Metadata,
@@ -30,7 +30,7 @@
     call.on('cancelled', () => this.end('closed'));
   }
 
-  /** gRPC's listener can't: its end is the end of the stream. */
+  /** No-op: on the server side of gRPC, ending the writes ends the stream. */
   finishSending(): void {}
 
   protected release(): void {
@@ -38,7 +38,7 @@
   }
 }
 
-/** What a {@link PeerListener} is made from. */
+/** Options of {@link PeerListener}. */
 export interface PeerListenerOptions {
   readonly host: string;
   readonly port: number;
@@ -47,7 +47,7 @@
   readonly service: ServiceDefinition;
   readonly heartbeatMs: number;
   readonly onAccepted: (call: AcceptedCall) => void;
-  readonly onStranger: (address: string) => void;
+  readonly onUnauthenticated: (address: string) => void;
 }
 
 /** Owns the listening socket. */
@@ -59,8 +59,8 @@
     this.server = new Server({
       'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
       'grpc.max_send_message_length': MAX_MESSAGE_BYTES,
-      // A connection that went silent is never closed by its other end: these
-      // pings let the socket go.
+      // A connection that went silent is never closed by its other end: a ping
+      // without an answer closes the socket.
       ...describeKeepalive(options.heartbeatMs),
     });
     this.server.addService(options.service, {
@@ -68,7 +68,7 @@
     });
   }
 
-  /** Rejects when the port can't be had. */
+  /** Rejects when the port can't be bound. */
   async listen(): Promise<void> {
     const {host, port, credentials} = this.options;
     const address = formatAddress(host, port);
@@ -92,7 +92,7 @@
   private accept(call: AcceptedCall): void {
     const answer = answerCaller(this.options.sharedSecret, call.metadata);
     if (answer === undefined) {
-      this.options.onStranger(call.getPeer());
+      this.options.onUnauthenticated(call.getPeer());
       call.emit('error', {
         code: status.UNAUTHENTICATED,
         details: 'The shared secret is not the right one.',
--- a/packages/peer/src/peer_network.test.ts
+++ b/packages/peer/src/peer_network.test.ts
@@ -35,7 +35,7 @@
   outputTokens: 7,
 };
 
-/** One of each kind, with the optional fields absent in some. */
+/** One record of each kind; some without their optional fields. */
 const EVERY_RECORD: readonly PeerRecord[] = [
   {
     kind: 'ask',
@@ -104,7 +104,7 @@
   {kind: 'extension', name: 'load', json: Buffer.from('{}')},
 ];
 
-/** Shown with a test that fails: which links were opened and why they ended. */
+/** Logs to a test which links were opened and why they ended. */
 function logTo(t: ExecutionContext, name: string): PeerNetworkOptions['log'] {
   const startedAtMs = performance.now();
   return (event, fields) => {
@@ -128,8 +128,8 @@
   t.false(first.send('nobody' as InstanceId, EVERY_RECORD[1]));
 });
 
-/** Beats so long that a busy machine ends no link. */
-const PATIENT_SETTINGS = {
+/** Heartbeats so slow that a busy machine ends no link. */
+const SLOW_HEARTBEAT_SETTINGS = {
   ...FAST_SETTINGS,
   heartbeatMs: 1000,
   suspectAfterMs: 4000,
@@ -137,7 +137,7 @@
 };
 
 test('over an open stream every kind of record arrives whole and in order', async t => {
-  const settings = PATIENT_SETTINGS;
+  const settings = SLOW_HEARTBEAT_SETTINGS;
   const [first, second] = [
     await startNetwork(t, 'akl-a-1', {settings, log: logTo(t, 'first')}),
     await startNetwork(t, 'akl-a-2', {settings, log: logTo(t, 'second')}),
@@ -147,8 +147,8 @@
   const returned: PeerRecord[] = [];
   first.onUndelivered((instance, records) => returned.push(...records));
   first.seed(listOf([second]));
-  // A member may be known without a stream: what is sent to it then may rightly
-  // be handed back, and what the other side gives up takes records along.
+  // A member may be known without a stream. Records sent to it then may rightly
+  // be returned, or be lost with a stream that the other side gives up.
   await waitUntil('a stream', () => areConnected(first, second));
   for (const record of EVERY_RECORD) {
     t.true(first.send(second.self().id, record));
@@ -171,11 +171,11 @@
   for (let i = 0; i < 100; i += 1)
     first.send(second.self().id, EVERY_RECORD[1]);
   await waitUntil('all', () => received.length === 100);
-  // One for the records; a heartbeat and gossip may fall between.
+  // One frame for the records; heartbeats and gossip may add some.
   t.true(first.snapshot().framesSent - before <= 4);
 });
 
-test('five instances find each other from one that the list names', async t => {
+test('five instances find each other from one listed instance', async t => {
   const networks = await Promise.all(
     [1, 2, 3, 4, 5].map(n => startNetwork(t, `akl-a-${n}`)),
   );
@@ -183,7 +183,7 @@
   for (const network of networks) {
     await waitUntil('five members', () => aliveIn(network).length === 5);
   }
-  // A rumour reaches each of the others once.
+  // Each of the others handles a broadcast record once.
   const heard: string[] = [];
   for (const network of networks) {
     network.onRecords(() => heard.push(network.self().id));
@@ -216,25 +216,26 @@
 });
 
 // A process of another firm, or one with old settings, reaches the peer port.
-// Were it let in, it could hand out permits and configurations; operators would
-// see members that they never started.
-test('a stranger without the shared secret is turned away', async t => {
+// If it were accepted, it could send permits and configurations, and operators
+// would see members that they never started.
+test('a caller without the shared secret is refused', async t => {
   const peer = await startNetwork(t, 'akl-a-1');
   const events: string[] = [];
-  const stranger = await startNetwork(t, 'akl-a-2', {
+  const outsider = await startNetwork(t, 'akl-a-2', {
     settings: {...FAST_SETTINGS, sharedSecret: 'another secret of others'},
     log: (event, fields) => events.push(`${event} ${String(fields.reason)}`),
   });
-  stranger.seed(listOf([peer]));
+  outsider.seed(listOf([peer]));
   await waitUntil('refusal', () => peer.snapshot().strangersRefused > 1);
   t.deepEqual(aliveIn(peer), ['akl-a-1']);
-  t.deepEqual(aliveIn(stranger), ['akl-a-2']);
+  t.deepEqual(aliveIn(outsider), ['akl-a-2']);
   t.true(events.includes('link_ended refused'));
 });
 
-// The owner of a cell has just died and nobody knows it yet. Were asks to wait
-// for a stream that never comes, their callers would wait to their deadlines.
-test('records that can not be delivered are handed back', async t => {
+// The owner of a cell has just crashed and no other instance knows it yet. If
+// permit requests waited for a stream that never opens, their callers would
+// wait until their deadlines.
+test('records that can not be delivered are returned', async t => {
   const first = await startNetwork(t, 'akl-a-1');
   const second = await startNetwork(t, 'akl-a-2');
   const returned: PeerRecord[] = [];
@@ -252,18 +253,19 @@
   t.false(first.send(second.self().id, EVERY_RECORD[0]));
 });
 
-// An instance is replaced: its successor starts under the same name, perhaps
-// before the others noticed that the first one was gone. Were it taken for the
-// same life, the permits of the dead process would stay in use for ever.
-test('a restart under the same name is a new member', async t => {
+// An instance is replaced: its successor starts under the same id, perhaps
+// before the others have noticed that the first one is gone. If it were taken
+// for the same incarnation, the permits of the dead process would stay in use
+// for ever.
+test('a restart under the same id is a new incarnation', async t => {
   const first = await startNetwork(t, 'akl-a-1');
   const second = await startNetwork(t, 'akl-a-2');
   const third = await startNetwork(t, 'akl-a-3');
-  const lives: string[] = [];
+  const replaced: string[] = [];
   third.onMembersChanged(changes => {
     for (const {member, previous} of changes) {
       if (previous === undefined) continue;
-      if (previous.incarnation !== member.incarnation) lives.push(member.id);
+      if (previous.incarnation !== member.incarnation) replaced.push(member.id);
     }
   });
   const all: ListedInstance[] = listOf([first, second, third]);
@@ -274,7 +276,7 @@
   successor.seed(all);
   const {incarnation} = successor.self();
   for (const network of [first, third]) {
-    await waitUntil('the new life', () =>
+    await waitUntil('the new incarnation', () =>
       network
         .members()
         .some(
@@ -283,5 +285,5 @@
         ),
     );
   }
-  t.deepEqual(lives, ['akl-a-2']);
+  t.deepEqual(replaced, ['akl-a-2']);
 });
--- a/packages/peer/src/peer_network.ts
+++ b/packages/peer/src/peer_network.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between this entry instance and the others, and who they are. The
- * task owns its listener, its streams, its queues and its timers.
+ * Messages between this entry instance and the others, and membership. A
+ * network owns its listener, its streams, its queues and its timers.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -19,8 +19,8 @@
 import {describeNetwork, type NetworkSnapshot} from './network_snapshot.js';
 import type {PeerRecord} from './records.js';
 
-/** Kinds that may wait for the next tick, to save frames. */
-const PATIENT_KINDS: ReadonlySet<PeerRecord['kind']> = new Set([
+/** Kinds of records that may wait for a whole tick, to save frames. */
+const DEFERRABLE_KINDS: ReadonlySet<PeerRecord['kind']> = new Set([
   'progress',
   'in_use',
   'usage_copy',
@@ -37,7 +37,7 @@
 export class PeerNetwork {
   private readonly settings: EntrySettings['peer'];
   private readonly parts: NetworkParts;
-  private beatTimer?: NodeJS.Timeout;
+  private heartbeatTimer?: NodeJS.Timeout;
   private isStopping = false;
 
   constructor(options: PeerNetworkOptions) {
@@ -45,39 +45,44 @@
     this.parts = new NetworkParts(options);
   }
 
-  /** Listens and starts to beat. Rejects when the port can't be had. */
+  /**
+   * Listens and starts the heartbeats. Rejects when the port can't be bound.
+   */
   async start(): Promise<void> {
     const {listener, membership, log} = this.parts;
     await listener.listen();
     membership.setAddress(this.address());
-    this.beatTimer = setInterval(() => this.beat(), this.settings.heartbeatMs);
+    this.heartbeatTimer = setInterval(
+      () => this.onHeartbeatTimer(),
+      this.settings.heartbeatMs,
+    );
     log('peer_listening', {address: this.address()});
   }
 
-  /** Where other instances reach this one. */
+  /** Address at which other instances reach this one. */
   address(): string {
     return this.settings.advertisedAddress ?? this.parts.listener.address;
   }
 
-  /** Tells the others that this instance is about to stop; it goes on. */
+  /** Publishes that this instance is about to stop; it goes on running. */
   leave(): void {
     this.parts.membership.leave();
     this.parts.sender.flush();
   }
 
-  /** Sends what is queued, gives it a tick to leave, and closes everything. */
+  /** Sends what is queued, waits a tick for it to go out, closes everything. */
   async stop(): Promise<void> {
-    const {sender, keeper, listener} = this.parts;
+    const {sender, linkManager, listener} = this.parts;
     if (this.isStopping) return;
     this.isStopping = true;
-    clearInterval(this.beatTimer);
+    clearInterval(this.heartbeatTimer);
     sender.flush();
-    // Closing a stream resets it. Frames that are not with the kernel by then
-    // would be lost, the last releases among them, and their permits stay in
-    // use until the owner misses this instance.
+    // Closing a stream resets it, and frames not yet handed to the kernel are
+    // lost. Among them are the last releases: without these, their permits
+    // would stay in use until the owner holds this instance dead.
     await sleep(this.settings.tickMs);
     sender.stop();
-    keeper.close();
+    linkManager.close();
     listener.close();
   }
 
@@ -101,7 +106,9 @@
     return this.parts.membership.self;
   }
 
-  /** All known members, this instance first; dead ones too for a while. */
+  /**
+   * All known members, this instance first; dead ones until they are forgotten.
+   */
   members(): Member[] {
     const {membership} = this.parts;
     return [membership.self, ...membership.others()];
@@ -109,49 +116,56 @@
 
   /** Whether a stream to the instance is open. */
   isConnected(instance: InstanceId): boolean {
-    return this.parts.keeper.contacts.get(instance)?.isConnected ?? false;
+    return this.parts.linkManager.contacts.get(instance)?.isConnected ?? false;
   }
 
-  /** The platform's list of instances: where to look for members. */
+  /**
+   * Takes the platform's list of instances: addresses at which to find members.
+   */
   seed(listed: readonly ListedInstance[]): void {
     this.parts.dialler.seed(listed, this.parts.clock.readMs());
   }
 
-  /** This instance has the revision in force; told with the next frames. */
+  /**
+   * Records the revision in force at this instance; sent with the next frames.
+   */
   setRevision(revision: Revision): void {
-    const {membership, keeper, sender} = this.parts;
+    const {membership, linkManager, sender} = this.parts;
     if (revision <= membership.self.revision) return;
     membership.setRevision(revision);
-    for (const contact of keeper.contacts.values()) {
-      contact.owesRevision = contact.isConnected;
+    for (const contact of linkManager.contacts.values()) {
+      contact.hasUnsentRevision = contact.isConnected;
     }
     sender.schedule(true);
   }
 
   /**
    * Queues a record for one instance and opens a stream to it if there is none.
-   * False when the instance is not known, is held dead or reads too slowly:
-   * the record is not sent.
+   * Returns false, and doesn't send the record, when the instance is not known,
+   * is held dead or reads too slowly, so that its queue is full.
    */
   send(instance: InstanceId, record: PeerRecord): boolean {
-    const {membership, keeper, sender} = this.parts;
+    const {membership, linkManager, sender} = this.parts;
     const member = membership.get(instance);
     if (member === undefined || member.state === 'dead') return false;
-    const contact = keeper.contactOf(instance);
+    const contact = linkManager.getOrCreateContact(instance);
     if (!contact.queue(record)) return false;
-    keeper.dial(contact, member.peerAddress);
-    sender.schedule(!PATIENT_KINDS.has(record.kind));
+    linkManager.dial(contact, member.peerAddress);
+    sender.schedule(!DEFERRABLE_KINDS.has(record.kind));
     return true;
   }
 
-  /** Queues a record for the neighbours: a few instances, whatever the size. */
+  /**
+   * Queues a record for the neighbours, which are few at any number of
+   * instances.
+   */
   sendToNeighbours(record: PeerRecord): void {
     for (const neighbour of this.parts.watch.neighbours) {
       this.send(neighbour, record);
     }
   }
 
-  /** Tells all instances, by way of the neighbours; each hears it once. */
+  /** Sends a record to all other instances, by gossip; each handles it once. */
   broadcast(record: PeerRecord): void {
     const {rumours, sender} = this.parts;
     const rumour = {id: rumours.issueId(), record};
@@ -159,12 +173,12 @@
     sender.schedule(true);
   }
 
-  /** What the dump shows. */
+  /** State of the network for the operator's dump. */
   snapshot(): NetworkSnapshot {
     const {
       listener,
       watch,
-      keeper,
+      linkManager,
       counter,
       clock,
       membership,
@@ -175,7 +189,7 @@
       listenAddress: listener.address,
       members: this.members(),
       neighbours: [...watch.neighbours],
-      keeper,
+      linkManager,
       counter,
       nowMs: clock.readMs(),
       strangersRefused,
@@ -184,16 +198,16 @@
     });
   }
 
-  /** Once every heartbeat interval. */
-  private beat(): void {
-    const {clock, keeper, watch, dialler, membership, sender} = this.parts;
+  /** Runs once every heartbeat interval. */
+  private onHeartbeatTimer(): void {
+    const {clock, linkManager, watch, dialler, membership, sender} = this.parts;
     const nowMs = clock.readMs();
-    keeper.sweep(watch.neighbours);
+    linkManager.sweep(watch.neighbours);
     watch.judgeSilence(nowMs);
     dialler.dialNeighbours(watch.neighbours, nowMs);
     dialler.dialWaiting();
     dialler.dialSeeds(nowMs);
-    keeper.forget(id => membership.get(id) !== undefined);
+    linkManager.forget(id => membership.get(id) !== undefined);
     sender.flush(true);
   }
 }
--- a/packages/peer/src/peer_service.ts
+++ b/packages/peer/src/peer_service.ts
@@ -19,5 +19,7 @@
 
 const loaded = loadPackageDefinition(definition) as unknown as ProtoGrpcType;
 
-/** Constructor of clients; its `service` is what a server registers. */
+/**
+ * Client constructor; its `service` is the definition that a server registers.
+ */
 export const PeerService = loaded.snipestage.peer.Peer;
--- a/packages/peer/src/spread_plan.ts
+++ b/packages/peer/src/pull_plan.ts
@@ -1,22 +1,26 @@
 /**
- * Decides from whom to pull a configuration, and which one to apply. Does no
- * I/O. Revisions only rise: whatever arrives late or twice is passed over.
+ * Decides from which peer to pull a configuration, and whether to apply one.
+ * Does no I/O. Revisions only rise: one that arrives late or twice is ignored.
  */
 
 import type {InstanceId, Revision} from '@snipestage/types/ids.js';
 
 const DEFAULT_PULL_TIMEOUT_MS = 1000;
 
-/** A configuration is large: one that is no use is not fetched again soon. */
-const TIMEOUTS_PER_REJECTION = 10;
+/**
+ * Pull time-outs for which a peer is skipped after its configuration could not
+ * be applied: a configuration is large, and pulling it again at once is
+ * wasteful.
+ */
+const REJECTION_TIMEOUT_COUNT = 10;
 
-/** A pull to send. */
+/** A pull to send, and to which peer. */
 export interface PullStep {
   readonly from: InstanceId;
   readonly aboveRevision: Revision;
 }
 
-export class SpreadPlan {
+export class PullPlan {
   private revision: Revision;
   private pull?: {readonly from: InstanceId; readonly sentMs: number};
   /** Peers that have a higher revision in force. */
@@ -35,19 +39,21 @@
     return this.revision;
   }
 
-  /** Whether a peer is known to have more; then {@link next} is to be asked. */
+  /**
+   * Whether a peer has a higher revision; then {@link next} may give a pull.
+   */
   get isBehind(): boolean {
     return this.ahead.size > 0;
   }
 
-  /** A peer was seen with the revision in force. */
+  /** Records that a peer has the revision in force. */
   noteSeen(revision: Revision, from: InstanceId, nowMs: number): void {
     if (revision <= this.revision) return;
     if (nowMs < (this.rejectedUntilMs.get(from) ?? -Infinity)) return;
     this.ahead.set(from, revision);
   }
 
-  /** Whether what arrived is to be applied. */
+  /** Whether a configuration of this revision should be applied. */
   isWanted(revision: Revision): boolean {
     return revision > this.revision;
   }
@@ -62,14 +68,14 @@
     }
   }
 
-  /** What this peer sent could not be applied. */
+  /** Records that the configuration of this peer could not be applied. */
   noteRejected(from: InstanceId, nowMs: number): void {
-    const waitMs = this.pullTimeoutMs * TIMEOUTS_PER_REJECTION;
+    const waitMs = this.pullTimeoutMs * REJECTION_TIMEOUT_COUNT;
     this.rejectedUntilMs.set(from, nowMs + waitMs);
     this.noteFailed(from);
   }
 
-  /** This peer has not answered, or is gone. */
+  /** Records that this peer has not answered or can not be reached. */
   noteFailed(from: InstanceId): void {
     this.ahead.delete(from);
     if (this.pull?.from === from) this.pull = undefined;
@@ -77,7 +83,8 @@
 
   /**
    * The pull to send now: one at a time, from the peer that is furthest ahead.
-   * A peer that has not answered in time is passed over until it is seen again.
+   * A peer that has not answered in time is skipped until {@link noteSeen}
+   * names it again.
    *
    * @example
    * const step = plan.next(nowMs);
--- a/packages/peer/src/records.ts
+++ b/packages/peer/src/records.ts
@@ -1,4 +1,4 @@
-/** What entry instances tell each other, besides gossip. */
+/** Records that entry instances send each other, besides gossip. */
 
 import type {AttemptProgress} from '@snipestage/policy/cell_messages.js';
 import type {
@@ -19,18 +19,18 @@
   PermitRelease,
 } from '@snipestage/types/permits.js';
 
-/** A request that was in flight where an endpoint crashed. */
+/** A request that was in flight at an endpoint when that endpoint crashed. */
 export interface SuspectRequest {
   readonly fingerprint: Fingerprint;
-  /** Crashes it has been part of, as the sender counts. */
+  /** Crashes during which it was in flight, as counted by the sender. */
   readonly crashes: number;
-  /** How long the receiver is to remember it. */
+  /** How long the receiver keeps it. */
   readonly expiresInMs: number;
 }
 
 /**
- * One record. Records to one instance arrive in the order in which they were
- * sent, at most once; a stream that breaks loses those not yet delivered.
+ * One record. Records to one instance arrive at most once and in the order in
+ * which they were sent; a stream that breaks loses those not yet delivered.
  */
 export type PeerRecord =
   | {readonly kind: 'ask'; readonly ask: PermitAsk}
@@ -58,7 +58,9 @@
       readonly revision: Revision;
       readonly payload: Buffer;
     }
-  /** Asks for the configuration in force if it is above this revision. */
+  /**
+   * Requests the configuration in force if its revision is higher than this.
+   */
   | {readonly kind: 'configuration_pull'; readonly aboveRevision: Revision}
   | {readonly kind: 'suspect_request'; readonly suspect: SuspectRequest}
   | {
@@ -66,10 +68,10 @@
       readonly window: UsageWindowId;
       readonly json: Buffer;
     }
-  /** A record of a kind that this package need not know. */
+  /** A record whose content is opaque to this package. */
   | {readonly kind: 'extension'; readonly name: string; readonly json: Buffer};
 
-/** One life of one instance, as the sender of records. */
+/** One incarnation of an instance, as the sender of records. */
 export interface PeerIdentity {
   readonly id: InstanceId;
   readonly incarnation: Incarnation;
--- a/packages/peer/src/rendezvous.ts
+++ b/packages/peer/src/rendezvous.ts
@@ -1,16 +1,16 @@
 /**
  * Rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998):
- * instances that know the same members choose alike without talking.
+ * instances that know the same members make the same choice without messages.
  */
 
 import {hashText} from '@snipestage/policy/rendezvous.js';
 import type {DataCentreId, InstanceId} from '@snipestage/types/ids.js';
 import type {Member} from '@snipestage/types/member.js';
 
-const DEFAULT_POLLERS = 2;
+const DEFAULT_POLLER_COUNT = 2;
 
 /**
- * Members in the order in which they would hold what `key` names.
+ * Members in order of their preference for `key`, the highest weight first.
  *
  * @example
  * const [owner] = rankMembers(cell, candidates);
@@ -30,10 +30,10 @@
 }
 
 /**
- * The instances of a data centre that read the platform's head row; the others
- * hear of new revisions from them. Two, so that one may be lost unnoticed.
- * Instances whose views differ poll too often or, until the views agree again,
- * too seldom: nothing but delay comes of it.
+ * The instances of a data centre that poll the platform's head row; the others
+ * learn new revisions from them. Two by default, so that the loss of one has no
+ * effect. While the views of instances differ, too many or too few of them
+ * poll, which causes nothing but extra polls or delay.
  *
  * @example
  * const polls = choosePollers(dataCentre, network.members()).includes(self);
@@ -41,7 +41,7 @@
 export function choosePollers(
   dataCentre: DataCentreId,
   members: readonly Member[],
-  count = DEFAULT_POLLERS,
+  count = DEFAULT_POLLER_COUNT,
 ): InstanceId[] {
   const candidates = members.filter(
     member => member.dataCentre === dataCentre && member.state === 'alive',
--- a/packages/peer/src/rumour_log.ts
+++ b/packages/peer/src/rumour_log.ts
@@ -1,10 +1,10 @@
-/** Remembers which rumours have been seen, so that each is passed on once. */
+/** Records which rumours have been seen, so that each is passed on once. */
 
 import type {Incarnation} from '@snipestage/types/ids.js';
 
 const DEFAULT_CAPACITY = 20_000;
 
-/** Forgets the oldest first. */
+/** Evicts the oldest id first. */
 export class RumourLog {
   private readonly seen = new Set<string>();
   private count = 0;
@@ -14,7 +14,7 @@
     private readonly capacity = DEFAULT_CAPACITY,
   ) {}
 
-  /** An id for a rumour that starts here. */
+  /** A new id for a rumour from this instance, noted as seen. */
   issueId(): string {
     this.count += 1;
     const id = `${this.incarnation}/${this.count}`;
@@ -22,7 +22,7 @@
     return id;
   }
 
-  /** Whether it was new. */
+  /** Records the id. Returns whether it was new. */
   noteSeen(id: string): boolean {
     if (this.seen.has(id)) return false;
     this.seen.add(id);
--- a/packages/peer/src/seed_list.ts
+++ b/packages/peer/src/seed_list.ts
@@ -1,28 +1,28 @@
-/** The platform's list of instances, as places to look for members. */
+/** The platform's list of instances, as addresses at which to find members. */
 
 import type {InstanceId} from '@snipestage/types/ids.js';
 import type {Member} from '@snipestage/types/member.js';
 import type {ListedInstance} from '@snipestage/types/platform_messages.js';
 
-const FIRST_DIALS = 3;
-const DIAL_LOST_EVERY_MS = 2000;
+const INITIAL_DIAL_COUNT = 3;
+const DIAL_MISSING_EVERY_MS = 2000;
 
-/** Someone to dial. */
+/** An instance to dial. */
 export interface Seed {
   readonly id: InstanceId;
   readonly peerAddress: string;
 }
 
 /**
- * The list lags, so it only says where to look. It makes nobody a member and
- * nobody dead: an instance counts once it has been heard, directly or by
- * gossip, and one that is heard counts though the list says it leaves. An
- * instance held dead is dialled now and then, whatever the list says: after a
- * partition the two halves find each other again only in this way.
+ * The list lags behind, so it only gives addresses to dial. It neither adds a
+ * member nor declares one dead: an instance becomes a member once it has been
+ * heard, directly or by gossip, and stays one even if the list says that it
+ * leaves. Instances held dead are dialled from time to time, whatever the list
+ * says: only so do the two halves find each other again after a partition.
  */
 export class SeedList {
   private listed: readonly ListedInstance[] = [];
-  private lastLostMs = -Infinity;
+  private lastMissingDialMs = -Infinity;
 
   constructor(
     private readonly self: InstanceId,
@@ -34,7 +34,8 @@
   }
 
   /**
-   * Whom to dial now: several while nobody is known, else one at a time.
+   * The instances to dial now: several while all members are dead or none is
+   * known, else one at a time.
    *
    * @example
    * for (const seed of seeds.choose(membership.others(), nowMs)) dial(seed);
@@ -42,14 +43,14 @@
   choose(members: readonly Member[], nowMs: number): Seed[] {
     const present = members.filter(member => member.state !== 'dead');
     if (present.length === 0) {
-      return this.pick(this.findLost(members), FIRST_DIALS);
+      return this.pick(this.findMissing(members), INITIAL_DIAL_COUNT);
     }
-    if (nowMs - this.lastLostMs < DIAL_LOST_EVERY_MS) return [];
-    this.lastLostMs = nowMs;
-    return this.pick(this.findLost(members), 1);
+    if (nowMs - this.lastMissingDialMs < DIAL_MISSING_EVERY_MS) return [];
+    this.lastMissingDialMs = nowMs;
+    return this.pick(this.findMissing(members), 1);
   }
 
-  private findLost(members: readonly Member[]): Seed[] {
+  private findMissing(members: readonly Member[]): Seed[] {
     const byId = new Map(members.map(member => [member.id, member]));
     const found = new Map<InstanceId, Seed>();
     for (const member of members) {
@@ -58,7 +59,7 @@
     for (const instance of this.listed) {
       const state = byId.get(instance.id)?.state;
       if (instance.state !== 'live') continue;
-      // The list may know where an instance that was held dead lives now.
+      // The list may have a newer address of an instance that is held dead.
       if (state === undefined || state === 'dead') {
         found.set(instance.id, instance);
       }
--- a/packages/peer/src/silence_rules.ts
+++ b/packages/peer/src/silence_rules.ts
@@ -1,22 +1,28 @@
-/** What may be concluded from how long a member has not been heard. */
+/** Decides the state of a member from how long it has been silent. */
 
 import type {Member} from '@snipestage/types/member.js';
 
-/** A member, and when there was a sign of it. */
+/** A member, and when it was last heard. */
 export interface KnownMember {
   member: Member;
-  /** When a frame last came from the member itself. */
-  heardMs: number;
-  /** Since when its frames are expected; absent when they are not. */
-  watchedMs?: number;
-  /** When it last refuted a suspicion. */
-  refutedMs: number;
+  /**
+   * When a frame last came from the member itself; -Infinity before any has.
+   */
+  lastHeardMs: number;
+  /** Since when frames are expected from it; absent when none are. */
+  watchedSinceMs?: number;
+  /** When it last refuted a suspicion; -Infinity before it has. */
+  lastRefutedMs: number;
+  /**
+   * Silence after which it is suspected. Doubles with each refutation, is reset
+   * by a frame from the member.
+   */
   suspicionWaitMs: number;
-  /** When it was first suspected, or found dead. */
+  /** When its state last changed; at first when it became known. */
   sinceMs: number;
 }
 
-/** After how long a member is held dead, and then forgotten. */
+/** Times after which a member is suspected, held dead and forgotten. */
 export interface SilenceLimits {
   /** Silence after which a watched member is suspected. */
   readonly suspectAfterMs: number;
@@ -26,11 +32,11 @@
   readonly forgetAfterMs?: number;
 }
 
-/** What is to become of a member; `keep`: nothing changes. */
+/** The state change that is due for a member; `keep`: none. */
 export type SilenceVerdict = 'keep' | 'suspect' | 'dead' | 'forget';
 
 /**
- * Judges the silence of a member.
+ * Decides which state change the silence of a member calls for.
  *
  * @example
  * if (judgeSilence(known, nowMs, limits) === 'forget') forget(known.member.id);
@@ -41,7 +47,7 @@
   limits: Required<SilenceLimits>,
 ): SilenceVerdict {
   const {suspectAfterMs, deadAfterMs, forgetAfterMs} = limits;
-  const {member, sinceMs, heardMs, watchedMs, refutedMs} = known;
+  const {member, sinceMs, lastHeardMs, watchedSinceMs, lastRefutedMs} = known;
   if (member.state === 'dead') {
     return nowMs - sinceMs > forgetAfterMs ? 'forget' : 'keep';
   }
@@ -49,9 +55,10 @@
     const graceMs = deadAfterMs - suspectAfterMs;
     return nowMs - sinceMs < graceMs ? 'keep' : 'dead';
   }
-  // Nobody sends here what is not expected: its silence says nothing.
-  if (watchedMs === undefined) return 'keep';
-  const silentMs = nowMs - Math.max(heardMs, watchedMs, refutedMs);
+  // Members without a stream to this instance send it no frames: their silence
+  // is no evidence.
+  if (watchedSinceMs === undefined) return 'keep';
+  const silentMs = nowMs - Math.max(lastHeardMs, watchedSinceMs, lastRefutedMs);
   if (member.state === 'leaving') {
     return silentMs < deadAfterMs ? 'keep' : 'dead';
   }
--- a/packages/peer/src/simulate_rounds.ts
+++ b/packages/peer/src/simulate_rounds.ts
@@ -1,7 +1,8 @@
 /**
  * Runs many {@link Membership}s in one process without sockets, tick by tick,
- * to count frames and bytes at sizes that one machine can't run, and to replay
- * cuts exactly. Streams open at once and frames arrive within the next tick.
+ * to count frames and bytes at sizes that one machine can't run, and to
+ * reproduce network cuts exactly. Streams open at once and frames arrive one
+ * tick later.
  */
 
 import type {
@@ -20,15 +21,15 @@
 const HEARTBEAT_MS = 500;
 const SUSPECT_AFTER_MS = 2000;
 const DEAD_AFTER_MS = 5000;
-const BEATS_PER_HEARTBEAT = 2;
+const INTERVALS_PER_HEARTBEAT = 2;
 const SILENT_AFTER_MS = 3.5 * HEARTBEAT_MS;
 const FIRST_PORT = 20_000;
 
-/** What a {@link SimulatedNetworks} is made from. */
+/** Options of {@link SimulatedNetworks}. */
 export interface SimulationOptions {
   readonly dataCentres: number;
   readonly instancesPerDataCentre: number;
-  /** Whether frames pass; default: always. */
+  /** Whether frames are delivered; default: always. */
   readonly canPass?: (
     from: InstanceId,
     to: InstanceId,
@@ -43,7 +44,10 @@
   bytesSent = 0;
   neighbours: readonly InstanceId[] = [];
   /** By neighbour, when the last frame was sent and received. */
-  readonly streams = new Map<InstanceId, {sentMs: number; heardMs: number}>();
+  readonly streams = new Map<
+    InstanceId,
+    {sentMs: number; lastHeardMs: number}
+  >();
 
   constructor(readonly membership: Membership) {}
 
@@ -52,7 +56,7 @@
   }
 }
 
-interface FlyingFrame {
+interface FrameInTransit {
   readonly from: SimulatedNode;
   readonly to: InstanceId;
   readonly members: readonly Member[];
@@ -67,7 +71,7 @@
   readonly nodes = new Map<InstanceId, SimulatedNode>();
   nowMs = 0;
   private readonly canPass: NonNullable<SimulationOptions['canPass']>;
-  private flying: FlyingFrame[] = [];
+  private framesInTransit: FrameInTransit[] = [];
 
   constructor(options: SimulationOptions) {
     this.canPass = options.canPass ?? (() => true);
@@ -83,7 +87,7 @@
     }
   }
 
-  /** A new instance; it knows nobody until it meets one. */
+  /** Adds an instance, which knows no other until it is connected to one. */
   add(dataCentre: number, place: number): SimulatedNode {
     const id = `dc${dataCentre}-entry-${place}` as InstanceId;
     const port = FIRST_PORT + this.nodes.size;
@@ -107,13 +111,15 @@
     return node;
   }
 
-  /** Opens a stream between two, whether or not they are neighbours. */
+  /**
+   * Opens a stream between two instances, whether or not they are neighbours.
+   */
   connect(a: SimulatedNode, b: SimulatedNode): void {
     for (const [from, to] of [
       [a, b],
       [b, a],
     ]) {
-      from.streams.set(to.id, {sentMs: -Infinity, heardMs: this.nowMs});
+      from.streams.set(to.id, {sentMs: -Infinity, lastHeardMs: this.nowMs});
       const {self} = to.membership;
       const knownMembers = to.membership.others().length + 1;
       from.membership.openStream({...self, knownMembers}, this.nowMs);
@@ -125,14 +131,17 @@
     while (this.nowMs < endMs) this.step();
   }
 
-  /** Runs until the condition holds; the time that took. */
-  runUntil(holds: () => boolean, mostMs: number): number {
+  /**
+   * Runs until the condition holds or `maxMs` have passed; returns the time
+   * run.
+   */
+  runUntil(holds: () => boolean, maxMs: number): number {
     const startMs = this.nowMs;
-    while (!holds() && this.nowMs - startMs < mostMs) this.step();
+    while (!holds() && this.nowMs - startMs < maxMs) this.step();
     return this.nowMs - startMs;
   }
 
-  /** The states in which the running nodes see one instance. */
+  /** The states in which the other running nodes have one instance. */
   statesOf(subject: InstanceId): Set<Member['state'] | undefined> {
     const states = new Set<Member['state'] | undefined>();
     for (const node of this.nodes.values()) {
@@ -143,19 +152,20 @@
   }
 
   private step(): void {
-    const isBeat = this.nowMs % HEARTBEAT_MS === 0;
+    const isIntervalStart = this.nowMs % HEARTBEAT_MS === 0;
     const running = [...this.nodes.values()].filter(node => node.isRunning);
-    if (isBeat) for (const node of running) this.beat(node);
-    for (const node of running) this.sendDue(node, isBeat);
+    if (isIntervalStart)
+      for (const node of running) this.runHeartbeatInterval(node);
+    for (const node of running) this.sendDue(node, isIntervalStart);
     this.nowMs += TICK_MS;
-    const arrived = this.flying;
-    this.flying = [];
+    const arrived = this.framesInTransit;
+    this.framesInTransit = [];
     for (const frame of arrived) this.deliver(frame);
   }
 
-  private beat(node: SimulatedNode): void {
+  private runHeartbeatInterval(node: SimulatedNode): void {
     for (const [id, stream] of node.streams) {
-      const isSilent = this.nowMs - stream.heardMs > SILENT_AFTER_MS;
+      const isSilent = this.nowMs - stream.lastHeardMs > SILENT_AFTER_MS;
       if (isSilent) this.close(node, id);
     }
     const watched = new Set([...node.neighbours, ...node.streams.keys()]);
@@ -184,12 +194,12 @@
     node.neighbours = findNeighbours(membership.self, membership.others());
   }
 
-  private sendDue(node: SimulatedNode, isBeat: boolean): void {
+  private sendDue(node: SimulatedNode, isIntervalStart: boolean): void {
     for (const [id, stream] of node.streams) {
       const silentMs = this.nowMs - stream.sentMs;
-      const isDue = silentMs >= HEARTBEAT_MS * BEATS_PER_HEARTBEAT;
-      const isHeartbeat = isBeat && isDue;
-      if (!isHeartbeat && !node.membership.hasNews(id)) continue;
+      const isDue = silentMs >= HEARTBEAT_MS * INTERVALS_PER_HEARTBEAT;
+      const isHeartbeat = isIntervalStart && isDue;
+      if (!isHeartbeat && !node.membership.hasUrgentUpdates(id)) continue;
       const members = node.membership.takeUpdates(id, isHeartbeat);
       const {revision} = node.membership.self;
       const frame = encodeFrame({revision, members, records: []});
@@ -197,18 +207,18 @@
       node.framesSent += 1;
       node.bytesSent += exchange.requestSerialize(frame).length;
       stream.sentMs = this.nowMs;
-      this.flying.push({from: node, to: id, members});
+      this.framesInTransit.push({from: node, to: id, members});
     }
   }
 
-  private deliver({from, to, members}: FlyingFrame): void {
+  private deliver({from, to, members}: FrameInTransit): void {
     const node = this.nodes.get(to)!;
     if (!node.isRunning || !this.canPass(from.id, to, this.nowMs)) return;
     const stream = node.streams.get(from.id);
     if (stream === undefined) return;
-    stream.heardMs = this.nowMs;
+    stream.lastHeardMs = this.nowMs;
     const {self} = from.membership;
-    node.membership.hear(self, self.revision, this.nowMs);
+    node.membership.noteFrame(self, self.revision, this.nowMs);
     node.membership.merge(members, from.id, this.nowMs);
   }
 }
--- a/packages/peer/src/test_support/loop_clock.ts
+++ b/packages/peer/src/test_support/loop_clock.ts
@@ -5,9 +5,9 @@
 const MAX_STEP_MS = 10;
 
 /**
- * A monotonic clock that advances with real time, but only by a short step each
- * time the event loop comes round. While the process is stalled it stands still,
- * so that no network of the process looks silent to another.
+ * A monotonic clock that advances with real time, but at most by a short step
+ * per timer tick. While the process is stalled the clock stands still, so that
+ * no network of the process looks silent to another.
  *
  * @example
  * const clock = new LoopClock();
--- a/packages/peer/src/test_support/network_child.ts
+++ b/packages/peer/src/test_support/network_child.ts
@@ -1,6 +1,7 @@
 /**
- * A network in a process of its own, to be frozen. Takes its id and the
- * address of one other instance; prints a JSON line for each change it sees.
+ * A network in a separate process, which a test can freeze. Takes its id, and
+ * the id and address of another instance; prints a JSON line for each member
+ * change.
  */
 
 import type {DataCentreId, InstanceId} from '@snipestage/types/ids.js';
@@ -24,6 +25,6 @@
     state: 'live',
   },
 ]);
-// The test ends it by closing its input.
+// Exits with its parent, whose end closes this input.
 process.stdin.on('end', () => process.exit(0));
 process.stdin.resume();
--- a/packages/peer/src/test_support/networks.ts
+++ b/packages/peer/src/test_support/networks.ts
@@ -1,4 +1,4 @@
-/** Small worlds of networks for the tests of this package. */
+/** Starts networks for the tests of this package, and waits for conditions. */
 
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {EntrySettings} from '@snipestage/settings/entry_settings.js';
@@ -9,8 +9,8 @@
 import {LOOP_CLOCK} from './loop_clock.js';
 
 const POLL_MS = 20;
-/** Long enough for a busy machine; a test that gets there has failed. */
-const GIVE_UP_AFTER_MS = 30_000;
+/** Long enough for a busy machine; a test that takes longer fails. */
+const WAIT_TIMEOUT_MS = 30_000;
 
 /** Settings with short times, for a listener on a free port. */
 export const FAST_SETTINGS: EntrySettings['peer'] = {
@@ -23,26 +23,26 @@
   deadAfterMs: 1000,
 };
 
-/** Waits until the condition holds. Rejects when it never does. */
+/** Waits until the condition holds. Rejects after a time-out. */
 export async function waitUntil(
   what: string,
   holds: () => boolean,
 ): Promise<void> {
   const startMs = LOOP_CLOCK.readMs();
   while (!holds()) {
-    if (LOOP_CLOCK.readMs() - startMs > GIVE_UP_AFTER_MS) {
+    if (LOOP_CLOCK.readMs() - startMs > WAIT_TIMEOUT_MS) {
       throw new Error(`timed out waiting for: ${what}`);
     }
     await sleep(POLL_MS);
   }
 }
 
-/** What ends with a test. */
+/** Registers clean-up for the end of a test. */
 export interface TestScope {
   teardown(end: () => void | Promise<void>): void;
 }
 
-/** A started network in data centre `akl-a`, unless told otherwise. */
+/** Starts a network, in data centre `akl-a` unless the options name another. */
 export async function startNetwork(
   scope: TestScope,
   id: string,
@@ -60,7 +60,7 @@
   return network;
 }
 
-/** The platform's list, were it up to date. */
+/** The networks as entries of an up-to-date platform list. */
 export function listOf(networks: readonly PeerNetwork[]): ListedInstance[] {
   return networks.map(network => {
     const {id, dataCentre} = network.self();
@@ -68,7 +68,7 @@
   });
 }
 
-/** Ids that the network holds alive, itself included. */
+/** Ids of the members that the network holds alive, itself included. */
 export function aliveIn(network: PeerNetwork): string[] {
   return network
     .members()
@@ -77,7 +77,10 @@
     .sort();
 }
 
-/** Whether both hold a stream to the other; one may give up what it opens. */
+/**
+ * Whether each holds a stream to the other. One side alone may still give up
+ * the stream that it has opened.
+ */
 export function areConnected(one: PeerNetwork, other: PeerNetwork): boolean {
   return one.isConnected(other.self().id) && other.isConnected(one.self().id);
 }
--- a/packages/peer/src/test_support/relay.ts
+++ b/packages/peer/src/test_support/relay.ts
@@ -1,27 +1,29 @@
-/** A TCP relay that can be slow or lose track of the connections through it. */
+/** A TCP relay that can delay bytes, or drop them silently. */
 
 import {connect, createServer, type AddressInfo, type Socket} from 'node:net';
 
-/** Which way bytes still go over a connection. */
-export type Passage = 'both' | 'to_target' | 'to_caller' | 'none';
+/** The directions in which bytes of a connection are forwarded. */
+export type Forwarding = 'both' | 'to_target' | 'to_caller' | 'none';
 
 interface Connection {
   readonly caller: Socket;
   readonly target: Socket;
-  passage: Passage;
+  forwarding: Forwarding;
 }
 
-/** Bytes that must not pass are read and dropped; sockets stay open. */
+/** Bytes that are not forwarded are read and dropped; sockets stay open. */
 export class Relay {
   readonly connections: Connection[] = [];
-  /** How connections that come later start. */
-  passageOfNew: Passage = 'both';
-  /** How much longer bytes are under way because of it. */
+  /** Initial forwarding of new connections. */
+  newConnectionForwarding: Forwarding = 'both';
+  /** Delay that the relay adds in each direction. */
   readonly delayMs = {to_target: 0, to_caller: 0};
   private targetPort = 0;
-  private readonly server = createServer(caller => this.take(caller));
+  private readonly server = createServer(caller =>
+    this.handleConnection(caller),
+  );
 
-  /** Resolves with the relay's own address. */
+  /** Resolves with the address of the relay. */
   async listen(): Promise<string> {
     await new Promise<void>(resolve => {
       this.server.listen(0, '127.0.0.1', resolve);
@@ -29,14 +31,15 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** The address that lies behind; it is known later than the relay's own. */
+  /** Sets the address behind the relay, which is known only after its own. */
   setTarget(address: string): void {
     this.targetPort = Number(address.split(':')[1]);
   }
 
-  /** What has been opened so far passes bytes so, from now on. */
-  setPassage(passage: Passage): void {
-    for (const connection of this.connections) connection.passage = passage;
+  /** Changes the forwarding of all connections opened so far. */
+  setForwarding(forwarding: Forwarding): void {
+    for (const connection of this.connections)
+      connection.forwarding = forwarding;
   }
 
   close(): void {
@@ -47,26 +50,30 @@
     }
   }
 
-  private take(caller: Socket): void {
+  private handleConnection(caller: Socket): void {
     const target = connect(this.targetPort, '127.0.0.1');
-    const connection: Connection = {caller, target, passage: this.passageOfNew};
+    const connection: Connection = {
+      caller,
+      target,
+      forwarding: this.newConnectionForwarding,
+    };
     this.connections.push(connection);
-    const passes = (way: Passage) =>
-      connection.passage === 'both' || connection.passage === way;
-    const pass = (
+    const forwards = (way: Forwarding) =>
+      connection.forwarding === 'both' || connection.forwarding === way;
+    const forward = (
       bytes: Buffer,
       way: 'to_target' | 'to_caller',
       to: Socket,
     ) => {
-      if (!passes(way)) return;
+      if (!forwards(way)) return;
       const delayMs = this.delayMs[way];
       if (delayMs === 0) to.write(bytes);
       else setTimeout(() => to.write(bytes), delayMs);
     };
-    caller.on('data', bytes => pass(bytes, 'to_target', target));
-    target.on('data', bytes => pass(bytes, 'to_caller', caller));
-    caller.on('close', () => passes('to_target') && target.destroy());
-    target.on('close', () => passes('to_caller') && caller.destroy());
+    caller.on('data', bytes => forward(bytes, 'to_target', target));
+    target.on('data', bytes => forward(bytes, 'to_caller', caller));
+    caller.on('close', () => forwards('to_target') && target.destroy());
+    target.on('close', () => forwards('to_caller') && caller.destroy());
     caller.on('error', () => undefined);
     target.on('error', () => undefined);
   }
