--- a/packages/peer/src/link_manager.ts
+++ b/packages/peer/src/link_manager.ts
@@ -71,7 +71,7 @@
 export class LinkManager implements LinkOwner {
   readonly contacts = new Map<InstanceId, PeerContact>();
   /** Number of ended links by reason. */
-  readonly ends: {[Reason in LinkEnd]?: number} = {};
+  readonly endCounts: {[Reason in LinkEnd]?: number} = {};
   /** Accepted links over which no hello has come yet. */
   private readonly unidentified = new Set<PeerLink>();
   private readonly dialledTo = new Map<PeerLink, PeerContact>();
@@ -130,7 +130,7 @@
 
   onEnd(link: PeerLink, reason: LinkEnd, detail: string): void {
     const {events, random} = this.options;
-    this.ends[reason] = (this.ends[reason] ?? 0) + 1;
+    this.endCounts[reason] = (this.endCounts[reason] ?? 0) + 1;
     this.unidentified.delete(link);
     this.retiring.delete(link);
     const contact =
@@ -215,10 +215,10 @@
    * Lets a duplicate stream run out. Both sides choose the same one of two
    * streams, though not at the same moment: until a side has seen both, it may
    * send over the duplicate. If this side ended it, records in transit would be
-   * lost, and a request would wait for an answer to one that never arrived. So
-   * the dialler of the duplicate only signals that no more frames come, and the
-   * other side, once it has read up to that signal, ends the stream after its
-   * own last record.
+   * lost, and a request would wait for an answer to a record that never arrived.
+   * So the dialler of the duplicate only signals that no more frames come, and
+   * the other side, once it has read up to that signal, ends the stream after
+   * its own last record.
    */
   private retire(link: PeerLink): void {
     const {events, heartbeatMs} = this.options;
--- a/packages/peer/src/measure_network.ts
+++ b/packages/peer/src/measure_network.ts
@@ -16,11 +16,11 @@
 import type {ListedInstance} from '@snipestage/types/platform_messages.js';
 import {fitLine, quantile} from './measure_statistics.js';
 
-const CHILD = fileURLToPath(
+const CHILD_FILE = fileURLToPath(
   new URL('./measure_network_child.js', import.meta.url),
 );
 const DEFAULT_SIZES = [9, 20, 40];
-const DATA_CENTRES = 3;
+const DATA_CENTRE_COUNT = 3;
 const SETTLE_MS = 12_000;
 const MEASURE_MS = 15_000;
 const PUSH_COUNT = 20;
@@ -51,8 +51,8 @@
 
 async function startChild(n: number): Promise<Child> {
   const id = `entry-${n}` as InstanceId;
-  const dataCentre = `dc${n % DATA_CENTRES}` as DataCentreId;
-  const child = spawn(process.execPath, [CHILD, id, dataCentre], {
+  const dataCentre = `dc${n % DATA_CENTRE_COUNT}` as DataCentreId;
+  const child = spawn(process.execPath, [CHILD_FILE, id, dataCentre], {
     stdio: ['pipe', 'pipe', 'inherit'],
   });
   const lines = createInterface(child.stdout)[Symbol.asyncIterator]();
@@ -73,8 +73,8 @@
 }
 
 /**
- * Mean of each rate per second and process, the largest memory and the smallest
- * number of members held alive.
+ * Mean rates per second and process, the largest memory and the smallest number
+ * of members held alive.
  */
 async function measureRates(children: readonly Child[]) {
   const before = await askAll(children, {kind: 'read'});
--- a/packages/peer/src/member_rules.ts
+++ b/packages/peer/src/member_rules.ts
@@ -36,7 +36,7 @@
 
 /**
  * Whether `self` must refute an update about itself: one that reports a failure
- * or that gives precedence to another incarnation.
+ * or another incarnation, unless its heartbeat is lower than that of `self`.
  *
  * @example
  * if (needsRefutation(update, self)) heartbeat = update.heartbeat + 1;
--- a/packages/peer/src/membership.ts
+++ b/packages/peer/src/membership.ts
@@ -152,8 +152,8 @@
 
   /**
    * Applies the state changes that are due. `watched` are the members whose
-   * frames are expected; `exempt` are those whose stream is just being
-   * replaced, which are skipped.
+   * frames are expected; `exempt` are those that are skipped, since a silent
+   * stream to them is just being replaced.
    *
    * @example
    * membership.tick(nowMs, new Set(neighbours), new Set());
--- a/packages/peer/src/network_parts.ts
+++ b/packages/peer/src/network_parts.ts
@@ -180,8 +180,8 @@
 
   private noteLost(contact: PeerContact, reason: LinkEnd): void {
     this.membership.closeStream(contact.id);
-    // Only the lower id dials at once, so that both do not dial at the same
-    // moment; the higher one waits a heartbeat interval.
+    // Without queued records only the lower id dials at once, and the higher one
+    // waits a heartbeat interval, so that both do not dial at the same moment.
     const isOwnTurn =
       this.watch.neighbours.has(contact.id) && this.id < contact.id;
     const isWanted = isOwnTurn || contact.hasOutgoing;
--- a/packages/peer/src/network_snapshot.ts
+++ b/packages/peer/src/network_snapshot.ts
@@ -78,6 +78,6 @@
     framesReceived: counter.framesReceived,
     bytesSent: counter.bytesSent,
     bytesReceived: counter.bytesReceived,
-    linkEnds: {...linkManager.ends},
+    linkEnds: {...linkManager.endCounts},
   };
 }
--- a/packages/peer/src/peer_faults.test.ts
+++ b/packages/peer/src/peer_faults.test.ts
@@ -16,7 +16,7 @@
 import {LOOP_CLOCK} from './test_support/loop_clock.js';
 import {Relay, type Forwarding} from './test_support/relay.js';
 
-const CHILD = fileURLToPath(
+const CHILD_FILE = fileURLToPath(
   new URL('./test_support/network_child.js', import.meta.url),
 );
 const GRANT = {
@@ -185,7 +185,7 @@
   first.seed(listOf([second]));
   const child = spawn(
     process.execPath,
-    [CHILD, 'akl-a-3', 'akl-a-1', first.address()],
+    [CHILD_FILE, 'akl-a-3', 'akl-a-1', first.address()],
     {stdio: ['pipe', 'pipe', 'inherit']},
   );
   t.teardown(() => child.kill('SIGKILL'));
--- a/packages/peer/src/peer_link.ts
+++ b/packages/peer/src/peer_link.ts
@@ -115,8 +115,8 @@
   }
 }
 
-const UNAUTHENTICATED = 16;
+const UNAUTHENTICATED_STATUS = 16;
 
 function isRefusal(error: Error): boolean {
-  return 'code' in error && error.code === UNAUTHENTICATED;
+  return 'code' in error && error.code === UNAUTHENTICATED_STATUS;
 }
--- a/packages/peer/src/silence_rules.ts
+++ b/packages/peer/src/silence_rules.ts
@@ -26,7 +26,7 @@
 export interface SilenceLimits {
   /** Silence after which a watched member is suspected. */
   readonly suspectAfterMs: number;
-  /** Silence after which it is held dead. */
+  /** Silence after which it is held dead; longer after refuted suspicions. */
   readonly deadAfterMs: number;
   /** How long a dead member is remembered. */
   readonly forgetAfterMs?: number;
