--- a/packages/cli/src/admin/admin_answers.ts
+++ b/packages/cli/src/admin/admin_answers.ts
@@ -1,16 +1,16 @@
-/** Answers of the administration API, as far as the command reads them. */
+/** Schemas of the administration API's answers, with the fields in use. */
 
 import {z} from 'zod';
 
-/** Unknown fields pass, so that a newer instance can be asked. */
+/** Allows unknown fields, so that answers of newer instances can be read. */
 const fault = z.looseObject({path: z.string(), message: z.string()});
 
-/** How a submitted ticket ended. */
+/** Outcome of a submitted ticket. */
 export const submitAnswer = z.looseObject({
   outcome: z.string(),
   revision: z.number().optional(),
   faults: z.array(fault).default([]),
-  /** The object that a higher ticket has touched, and that ticket. */
+  /** The object that a ticket with a higher number changed, and that number. */
   path: z.string().optional(),
   by: z.number().optional(),
 });
@@ -27,16 +27,16 @@
   ),
 });
 
-/** A list, or the one ticket that was asked for. */
+/** All accepted tickets, or the requested one. */
 export const ticketsAnswer = z.looseObject({tickets: z.array(ticketAnswer)});
 
-/** What an instance sees and does. */
+/** State of an instance. */
 export const statusAnswer = z.looseObject({
   instance: z.string(),
   ready: z.boolean(),
   reason: z.string().optional(),
   revision: z.number(),
-  /** Absent where the instance does not tell. */
+  /** Absent when the instance doesn't report them. */
   members: z
     .array(
       z.looseObject({
@@ -67,7 +67,7 @@
 
 /** Usage by window, client account and class. */
 export const usageAnswer = z.looseObject({
-  /** What this instance has counted and no seal has taken in yet. */
+  /** Usage counted by this instance that is not part of a sealed window yet. */
   counters: z.looseObject({windows: z.array(usageWindow)}),
   sealed: z.discriminatedUnion('kind', [
     z.looseObject({
@@ -78,5 +78,5 @@
   ]),
 });
 
-/** Refusals of the listener itself, such as for a wrong key. */
+/** Refusal by the listener itself, such as for a wrong key. */
 export const errorAnswer = z.looseObject({message: z.string()});
--- a/packages/cli/src/admin/admin_client.ts
+++ b/packages/cli/src/admin/admin_client.ts
@@ -1,4 +1,4 @@
-/** Calls the administration API of one instance after another. */
+/** Calls the administration API of instances, one after another. */
 
 import got, {RequestError} from 'got';
 import type {z} from 'zod';
@@ -9,7 +9,7 @@
 const CONNECT_TIMEOUT_MS = 3000;
 const DEFAULT_TIMEOUT_MS = 15_000;
 
-/** Failures before a connection stood, so that nothing can have been sent. */
+/** Errors before a connection was established: nothing can have been sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -27,11 +27,11 @@
 }
 
 /**
- * How one instance answered.
+ * Result of a call to one instance.
  *
- * - `answered`: with any status.
- * - `unreachable`: it got nothing.
- * - `no_answer`: it may have done what it was asked.
+ * - `answered`: the instance answered, with any status.
+ * - `unreachable`: the call did not reach the instance.
+ * - `no_answer`: the instance may have carried out the call.
  */
 export type AdminReply =
   | {
@@ -49,14 +49,14 @@
 /** A reply with a status. */
 export type AnsweredReply = Extract<AdminReply, {kind: 'answered'}>;
 
-/** What an {@link AdminClient} is made from. */
+/** Options of {@link AdminClient}. */
 export interface AdminClientOptions {
   readonly urls: readonly string[];
   readonly operatorKey: string;
   readonly timeoutMs?: number;
 }
 
-/** No call repeats itself; whether to ask again is up to the command. */
+/** Never retries a call; whether to repeat it is decided by the command. */
 export class AdminClient {
   readonly urls: readonly string[];
 
@@ -65,7 +65,7 @@
     this.urls = options.urls.map(checkUrl);
   }
 
-  /** Asks one instance; never throws for what the network does. */
+  /** Calls one instance; returns network errors instead of throwing them. */
   async ask(url: string, call: AdminCall): Promise<AdminReply> {
     try {
       const response = await got(`${url}/admin/v1${call.path}`, {
@@ -90,10 +90,10 @@
   }
 
   /**
-   * Reads from the first instance that can answer. Only for calls that change
-   * nothing.
+   * Calls the instances in turn until one answers with a status below 500. Only
+   * for calls that change nothing.
    *
-   * @throws CommandError when none answers, or the key is not accepted.
+   * @throws CommandError when none does, or the key is not accepted.
    */
   async read(call: AdminCall): Promise<AnsweredReply> {
     const reasons: string[] = [];
@@ -108,17 +108,17 @@
         return reply;
       }
     }
-    throw unreachable(reasons);
+    throw unreachableError(reasons);
   }
 }
 
 /**
- * The error for a call that no instance answered.
+ * Creates the error for a call that no instance answered.
  *
  * @example
- * throw unreachable(['http://10.0.0.1:8081: connect ECONNREFUSED']);
+ * throw unreachableError(['http://10.0.0.1:8081: connect ECONNREFUSED']);
  */
-export function unreachable(reasons: readonly string[]): CommandError {
+export function unreachableError(reasons: readonly string[]): CommandError {
   return new CommandError(
     'No instance answered. Check that one is up and that --admin-url names ' +
       `its administration port.\n  ${reasons.join('\n  ')}`,
@@ -142,9 +142,9 @@
 }
 
 /**
- * Reads an answer by its schema.
+ * Parses an answer with its schema.
  *
- * @throws CommandError when the instance said something else.
+ * @throws CommandError when the answer doesn't match.
  * @example
  * const {faults} = readAnswer(reply, validateAnswer);
  */
@@ -163,7 +163,7 @@
 }
 
 /**
- * The status and, where there is one, the message of an answer.
+ * Describes an answer by its status and, if there is one, its message.
  *
  * @example
  * describeStatus(reply); // 'status 503, The platform can not be read.'
--- a/packages/cli/src/command_error.ts
+++ b/packages/cli/src/command_error.ts
@@ -1,16 +1,16 @@
-/** Ends a command with a message for a person and an exit code. */
+/** Error that ends a command with a message and an exit code. */
 
 import {SnipestageError} from '@snipestage/errors/request_error.js';
 import type {InstanceOptions} from 'modern-errors';
 import {EXIT_INTERNAL, type ExitCode} from './exit_codes.js';
 
-/** What a {@link CommandError} is made from. */
+/** Options of {@link CommandError}. */
 export interface CommandErrorOptions extends InstanceOptions {
   readonly exitCode?: ExitCode;
 }
 
 /**
- * The message says what is wrong, where, and what to do next.
+ * The message states what is wrong, where, and what to do next.
  *
  * @example
  * throw new CommandError('No operator key. Set SNIPESTAGE_OPERATOR_KEY.', {
--- a/packages/cli/src/commands/cli_command.ts
+++ b/packages/cli/src/commands/cli_command.ts
@@ -1,4 +1,4 @@
-/** What all commands have in common. */
+/** Base class of all commands. */
 
 import {InputError, type Fault} from '@snipestage/errors/request_error.js';
 import type {Command} from 'commander';
@@ -16,25 +16,25 @@
 import type {Terminal} from '../terminal.js';
 import {TERMINAL} from '../tokens.js';
 
-/** Groups of commands, by the word that comes before them. */
+/** Command groups, by the word that precedes the command's name. */
 const GROUPS = {
   ticket: 'change the configuration by numbered tickets',
   keys: 'keys of client accounts and operators',
   settings: 'settings of snipestage-entry',
 } as const;
 
-/** What a command works with in one run. */
+/** Context of one run of a command. */
 export interface CommandContext {
   readonly options: GlobalOptions;
   readonly reporter: Reporter;
   readonly terminal: Terminal;
-  /** The command with its own options as given. */
+  /** The parsed command, with the values of its own options. */
   readonly command: Command;
-  /** The arguments as given, in their order. */
+  /** The arguments in the given order. */
   readonly args: readonly string[];
 }
 
-/** How a command is shown and called. */
+/** Name and help texts of a command. */
 export interface CommandDescription {
   readonly group?: keyof typeof GROUPS;
   readonly name: string;
@@ -44,7 +44,7 @@
   readonly notes?: string;
 }
 
-/** Hands the exit code to the program. */
+/** Passes the exit code to the program. */
 export type Finish = (exitCode: ExitCode) => void;
 
 /** One command: adds itself to the program and runs when chosen. */
@@ -67,7 +67,7 @@
   /** Adds arguments and options of its own. */
   protected addArguments?(command: Command): void;
 
-  /** Does the work; what it throws is printed. */
+  /** Runs the command; errors that it throws are printed. */
   protected abstract execute(context: CommandContext): Promise<ExitCode>;
 
   private async run(command: Command, finish: Finish): Promise<void> {
@@ -86,6 +86,8 @@
 }
 
 /**
+ * Creates a client for the addresses and the key of the command line.
+ *
  * @throws CommandError when there is no key or an address is wrong.
  *
  * @example
@@ -99,7 +101,7 @@
 }
 
 /**
- * Prints the faults of an input; nothing of it took effect.
+ * Prints the faults of an input of which nothing took effect.
  *
  * @example
  * return reportFaults(reporter, 'The ticket has faults.', faults);
@@ -125,10 +127,10 @@
   const exitCode =
     error instanceof CommandError ? error.exitCode : EXIT_INTERNAL;
   const message = error instanceof Error ? error.message : String(error);
-  const shown =
+  const text =
     exitCode === EXIT_INTERNAL
       ? `Internal error: ${message}. Please report it with the command line.`
       : message;
-  reporter.error({message: shown, exitCode, faults: []});
+  reporter.error({message: text, exitCode, faults: []});
   return exitCode;
 }
--- a/packages/cli/src/commands/drain/drain.ts
+++ b/packages/cli/src/commands/drain/drain.ts
@@ -4,7 +4,7 @@
 import {
   describeStatus,
   throwIfKeyRefused,
-  unreachable,
+  unreachableError,
 } from '../../admin/admin_client.js';
 import {CommandError} from '../../command_error.js';
 import {
@@ -20,13 +20,13 @@
   type CommandDescription,
 } from '../cli_command.js';
 
-/** Shuts down the one instance that is named. */
+/** Shuts down the instance at the given address. */
 @injectable()
 @injectFromBase()
 export class Drain extends CliCommand {
   readonly description: CommandDescription = {
     name: 'drain',
-    summary: 'shut one instance down; what it serves is finished first',
+    summary: 'shut one instance down; running requests are finished first',
     examples: ['drain --admin-url http://10.0.0.1:8081'],
   };
 
@@ -37,8 +37,8 @@
 
 async function drain(context: CommandContext): Promise<ExitCode> {
   const client = openAdminClient(context);
-  // With another address to turn to, an instance that does not answer would
-  // have a healthy one drained in its place.
+  // With several addresses, a healthy instance could be drained in place of one
+  // that does not answer.
   if (client.urls.length !== 1) {
     throw new CommandError('Name exactly one instance by --admin-url.', {
       exitCode: EXIT_USAGE,
@@ -47,17 +47,17 @@
   const [url] = client.urls;
   const reply = await client.ask(url, {method: 'POST', path: '/drain'});
   if (reply.kind !== 'answered') {
-    throw unreachable([`${url}: ${reply.reason}`]);
+    throw unreachableError([`${url}: ${reply.reason}`]);
   }
   throwIfKeyRefused(reply);
   if (reply.status >= 300) {
     throw new CommandError(
       `${url} did not begin to drain (${describeStatus(reply)}). Look at ` +
-        'snipestage status before asking again.',
+        'snipestage status before trying again.',
       {exitCode: EXIT_UNREACHABLE},
     );
   }
-  const text = `${url} drains; snipestage status says when it is gone.\n`;
+  const text = `${url} is draining; snipestage status shows when it is gone.\n`;
   context.reporter.result({outcome: 'draining', url}, text);
   return EXIT_OK;
 }
--- a/packages/cli/src/commands/dump/dump.ts
+++ b/packages/cli/src/commands/dump/dump.ts
@@ -7,7 +7,7 @@
 
 const dumpAnswer = z.looseObject({});
 
-/** Prints the state of one instance. */
+/** Prints the whole state of one instance. */
 @injectable()
 @injectFromBase()
 export class Dump extends ReadingCommand<typeof dumpAnswer> {
--- a/packages/cli/src/commands/evacuation/evacuation.test.ts
+++ b/packages/cli/src/commands/evacuation/evacuation.test.ts
@@ -30,7 +30,7 @@
   return admin;
 }
 
-test('evacuate changes the one field and takes the next number', async t => {
+test('evacuate changes only that field and uses the next ticket number', async t => {
   // Guards against a ticket that drops the data centre's other fields.
   const admin = await startAdmin(t);
   const args = ['evacuate', 'akl-a', '--author', 'mere', '--reason', 'power'];
@@ -50,7 +50,7 @@
   });
 });
 
-test('restore takes the mark away', async t => {
+test('restore removes the evacuated field', async t => {
   const admin = await startAdmin(t);
   const run = await runCommand(['restore', 'akl-b', '--admin-url', admin.url]);
   t.is(run.exitCode, 0, run.error);
@@ -58,7 +58,7 @@
   t.deepEqual(changes[0].state, {id: 'akl-b', region: 'nz-north'});
 });
 
-test('what is in the wanted state already needs no ticket', async t => {
+test('a data centre that is evacuated already needs no ticket', async t => {
   const admin = await startAdmin(t);
   const run = await runCommand(['evacuate', 'akl-b', '--admin-url', admin.url]);
   t.is(run.exitCode, 0);
--- a/packages/cli/src/commands/evacuation/evacuation.ts
+++ b/packages/cli/src/commands/evacuation/evacuation.ts
@@ -1,4 +1,4 @@
-/** `snipestage evacuate` and `restore`: empty a data centre and take it back. */
+/** `snipestage evacuate` and `restore`: evacuate and restore a data centre. */
 
 import {checkTicket} from '@snipestage/configuration/ticket_schema.js';
 import type {Command} from 'commander';
@@ -85,7 +85,7 @@
   return reportOutcome(checked.ticket, outcome, context);
 }
 
-/** New requests keep away from the data centre's endpoints. */
+/** Stops new requests to the data centre's endpoints. */
 @injectable()
 @injectFromBase()
 export class Evacuate extends EvacuationCommand {
@@ -100,7 +100,7 @@
   };
 }
 
-/** The data centre's endpoints get requests again. */
+/** Allows requests to the data centre's endpoints again. */
 @injectable()
 @injectFromBase()
 export class Restore extends EvacuationCommand {
--- a/packages/cli/src/commands/evacuation/plan_evacuation.ts
+++ b/packages/cli/src/commands/evacuation/plan_evacuation.ts
@@ -1,4 +1,4 @@
-/** The ticket that evacuates or restores a data centre. */
+/** Plans the ticket that evacuates or restores a data centre. */
 
 const KIND = 'data_centre';
 
@@ -12,28 +12,28 @@
   }>;
 }
 
-/** What an evacuation is planned from. */
+/** Input of {@link planEvacuation}. */
 export interface EvacuationRequest {
   /** All accepted tickets, in any order. */
   readonly tickets: readonly ListedTicket[];
   readonly dataCentre: string;
-  /** False: it is restored. */
+  /** False to restore the data centre. */
   readonly evacuated: boolean;
   readonly author: string;
   readonly reason: string;
 }
 
-/** What has to be done. */
+/** Result of {@link planEvacuation}. */
 export type EvacuationPlan =
   | {readonly kind: 'ticket'; readonly ticket: object}
-  /** It is in the wanted state already. */
+  /** The data centre is in the requested state already. */
   | {readonly kind: 'unchanged'}
   /** No such data centre is configured. */
   | {readonly kind: 'unknown'};
 
 /**
- * A ticket carries the whole new state of an object, so the data centre's other
- * fields come from the latest ticket that changed it.
+ * Plans the change. A ticket contains the whole new state of an object, so the
+ * data centre's other fields are copied from the latest ticket that changed it.
  *
  * @example
  * const plan = planEvacuation({tickets, dataCentre, evacuated: true, ...rest});
--- a/packages/cli/src/commands/keys_hash/keys_hash.ts
+++ b/packages/cli/src/commands/keys_hash/keys_hash.ts
@@ -11,10 +11,10 @@
   type CommandDescription,
 } from '../cli_command.js';
 
-/** Hashes carry no salt, which only random keys of some length can do without. */
-const SHORTEST_KEY = 24;
+/** Hashes are unsalted, which is safe only for long random keys. */
+const MIN_KEY_LENGTH = 24;
 
-/** Hashes or makes a key; asks no instance. */
+/** Hashes or generates a key; calls no instance. */
 @injectable()
 @injectFromBase()
 export class KeysHash extends CliCommand {
@@ -26,7 +26,11 @@
   };
 
   protected override addArguments(command: Command): void {
-    command.option('--generate', 'make a new key and print it as well', false);
+    command.option(
+      '--generate',
+      'generate a new key and print it as well',
+      false,
+    );
   }
 
   protected execute(context: CommandContext): Promise<ExitCode> {
@@ -49,14 +53,14 @@
 
 function checkKey(input: string): string {
   const key = input.trim();
-  if (key.length >= SHORTEST_KEY && !/\s/.test(key)) return key;
+  if (key.length >= MIN_KEY_LENGTH && !/\s/.test(key)) return key;
   throw new InputError(
-    'This is no key to be relied on. Make one with `keys hash --generate`.',
+    'This key is not safe to use. Generate one with `keys hash --generate`.',
     {
       faults: [
         {
           path: '',
-          message: `a key has at least ${SHORTEST_KEY} characters and no spaces`,
+          message: `a key has at least ${MIN_KEY_LENGTH} characters and no spaces`,
         },
       ],
     },
--- a/packages/cli/src/commands/reading_command.ts
+++ b/packages/cli/src/commands/reading_command.ts
@@ -1,4 +1,4 @@
-/** Commands that read one thing from an instance and print it. */
+/** Base class of commands that read from an instance and print the answer. */
 
 import {injectFromBase, injectable} from 'inversify';
 import type {z} from 'zod';
@@ -16,11 +16,11 @@
 export abstract class ReadingCommand<
   Schema extends z.ZodType,
 > extends CliCommand {
-  /** After `/admin/v1`. */
+  /** Path after `/admin/v1`. */
   protected abstract readonly path: string;
   protected abstract readonly schema: Schema;
 
-  /** The answer as a person reads it. */
+  /** Formats the answer as text. */
   protected abstract format(answer: z.output<Schema>): string;
 
   protected async execute(context: CommandContext): Promise<ExitCode> {
--- a/packages/cli/src/commands/settings_check/settings_check.ts
+++ b/packages/cli/src/commands/settings_check/settings_check.ts
@@ -1,4 +1,4 @@
-/** `snipestage settings check`: tells the faults of a settings file. */
+/** `snipestage settings check`: reports the faults of a settings file. */
 
 import {readEntrySettings} from '@snipestage/settings/read_settings.js';
 import type {Command} from 'commander';
@@ -10,14 +10,14 @@
   type CommandDescription,
 } from '../cli_command.js';
 
-/** Checks a settings file; asks no instance. */
+/** Checks a settings file; calls no instance. */
 @injectable()
 @injectFromBase()
 export class SettingsCheck extends CliCommand {
   readonly description: CommandDescription = {
     group: 'settings',
     name: 'check',
-    summary: 'tell all faults of a settings file',
+    summary: 'report all faults of a settings file',
     examples: ['settings check /etc/snipestage/entry.json'],
   };
 
--- a/packages/cli/src/commands/status/status.ts
+++ b/packages/cli/src/commands/status/status.ts
@@ -1,4 +1,4 @@
-/** `snipestage status`: what one instance sees and does. */
+/** `snipestage status`: readiness, revision, members and roles. */
 
 import {injectFromBase, injectable} from 'inversify';
 import type {z} from 'zod';
@@ -9,7 +9,7 @@
 
 const HEADINGS = ['member', 'data centre', 'state', 'revision'];
 
-/** Prints what one instance sees. */
+/** Prints the status of one instance. */
 @injectable()
 @injectFromBase()
 export class Status extends ReadingCommand<typeof statusAnswer> {
--- a/packages/cli/src/commands/ticket_submit/report_outcome.ts
+++ b/packages/cli/src/commands/ticket_submit/report_outcome.ts
@@ -1,4 +1,4 @@
-/** Tells an operator what became of a ticket. */
+/** Reports the outcome of a ticket to the operator. */
 
 import type {ChangeTicket} from '@snipestage/types/configuration.js';
 import {
@@ -11,7 +11,7 @@
 import type {SubmitOutcome} from './submit_ticket.js';
 
 /**
- * Prints how submitting a ticket ended, and what to do next.
+ * Prints the outcome of submitting a ticket, and what to do next.
  *
  * @example
  * return reportOutcome(ticket, outcome, context);
@@ -53,14 +53,14 @@
     case 'invalid':
       return reportFaults(
         reporter,
-        'The ticket does not fit what is in force; nothing took effect.',
+        'The ticket does not fit the configuration in force; nothing took effect.',
         outcome.faults,
       );
     case 'unknown':
       return fail(
         EXIT_UNREACHABLE,
         `Whether ticket ${number} was accepted is not known. Submit the same ` +
-          'file again: it is taken once however often it is sent.' +
+          'file again: it takes effect once, however often it is sent.' +
           listReasons(outcome.reasons),
       );
     case 'unavailable':
--- a/packages/cli/src/commands/ticket_submit/submit_ticket.ts
+++ b/packages/cli/src/commands/ticket_submit/submit_ticket.ts
@@ -1,4 +1,4 @@
-/** Submits one ticket until its outcome is known, or it is no use any more. */
+/** Submits a ticket until its outcome is known or the attempts are used up. */
 
 import type {Fault} from '@snipestage/errors/request_error.js';
 import type {ChangeTicket} from '@snipestage/types/configuration.js';
@@ -17,10 +17,10 @@
 const FIRST_DELAY_MS = 500;
 const MAX_DELAY_MS = 4000;
 
-/** Statuses by which the API says that the ticket is settled. */
+/** Statuses with which the API reports a final outcome. */
 const SETTLED_STATUSES: ReadonlySet<number> = new Set([200, 409, 422]);
 
-/** How submitting ended. */
+/** Result of {@link submitTicket}. */
 export type SubmitOutcome =
   | {readonly kind: 'accepted'; readonly revision: number | undefined}
   | {readonly kind: 'already_accepted'; readonly revision: number | undefined}
@@ -31,24 +31,25 @@
       readonly by: number | undefined;
     }
   | {readonly kind: 'invalid'; readonly faults: readonly Fault[]}
-  /** It may have been accepted, or may yet. */
+  /** It may have been accepted, or may still be. */
   | {readonly kind: 'unknown'; readonly reasons: readonly string[]}
   /** Nothing took effect. */
   | {readonly kind: 'unavailable'; readonly reasons: readonly string[]};
 
-/** What submitting needs besides the ticket. */
+/** Options of {@link submitTicket}; defaults in brackets. */
 export interface SubmitOptions {
   readonly client: AdminClient;
   readonly sleep: (delayMs: number) => Promise<void>;
-  /** How often all instances are asked before giving up. */
+  /** How often all instances are called before giving up (5). */
   readonly rounds?: number;
   readonly onProgress?: (text: string) => void;
 }
 
 /**
- * Asks the instances in turn, under the same number each time: the system
- * takes a number with the same content once, so that asking again after a lost
- * answer settles the outcome and can't do the change twice.
+ * Sends the ticket to the instances in turn, with the same number each time.
+ * The router accepts a number with the same content only once, so that sending
+ * the ticket again after a lost answer determines the outcome and can't apply
+ * the change twice.
  *
  * @throws CommandError when the key is not accepted.
  * @example
@@ -63,7 +64,7 @@
   let reasons: string[] = [];
   for (let round = 0; round < rounds; round++) {
     if (round > 0) {
-      options.onProgress?.(`${reasons.join('; ')}; asking again.\n`);
+      options.onProgress?.(`${reasons.join('; ')}; trying again.\n`);
       await options.sleep(delayMsOf(round));
     }
     reasons = [];
@@ -71,9 +72,9 @@
       const call = {method: 'POST', path: '/tickets', body: ticket} as const;
       const reply = await client.ask(url, call);
       if (isSettled(reply)) return outcomeOf(reply);
-      // Once in doubt always in doubt: that another instance could do nothing
-      // says nothing about what the first one did.
-      inDoubt ||= leavesDoubt(reply);
+      // Never reset: that another instance could not do anything doesn't show
+      // what the first one did.
+      inDoubt ||= leavesOutcomeUnknown(reply);
       reasons.push(`${url}: ${reasonOf(reply)}`);
     }
   }
@@ -103,7 +104,7 @@
   }
 }
 
-function leavesDoubt(reply: AdminReply): boolean {
+function leavesOutcomeUnknown(reply: AdminReply): boolean {
   if (reply.kind !== 'answered') return reply.kind === 'no_answer';
   if (reply.status < 500) return false;
   const answer = submitAnswer.safeParse(reply.body);
--- a/packages/cli/src/commands/ticket_submit/ticket_submit.test.ts
+++ b/packages/cli/src/commands/ticket_submit/ticket_submit.test.ts
@@ -18,7 +18,10 @@
   ],
 };
 const ACCEPTED = {status: 200, body: {outcome: 'accepted', revision: 3}};
-const ALREADY = {status: 200, body: {outcome: 'already_accepted', revision: 3}};
+const ALREADY_ACCEPTED = {
+  status: 200,
+  body: {outcome: 'already_accepted', revision: 3},
+};
 const UNKNOWN = {status: 503, body: {outcome: 'unknown'}};
 const UNAVAILABLE = {status: 503, body: {outcome: 'unavailable'}};
 const ROUNDS = 5;
@@ -29,8 +32,8 @@
   return admin;
 }
 
-/** Where nothing listens any more. */
-async function deadUrl() {
+/** An address at which no server listens. */
+async function closedUrl() {
   const admin = await FakeAdmin.start(ACCEPTED);
   await admin.stop();
   return admin.url;
@@ -42,7 +45,7 @@
   return runCommand(args, JSON.stringify(ticket));
 }
 
-test('a ticket goes out whole with the operator key', async t => {
+test('a ticket is sent complete and with the operator key', async t => {
   const admin = await startAdmin(t, ACCEPTED);
   const run = await submit([admin.url]);
   t.is(run.exitCode, 0);
@@ -60,22 +63,22 @@
   ]);
 });
 
-// One of the instances is being replaced. The operator named two, and must not
-// have to find out which one is up.
-test('the next instance is asked when one is gone', async t => {
+// Guards against a command that fails while one of the named instances is being
+// replaced, so that the operator has to find out which one is up.
+test('the next instance is called when one is unreachable', async t => {
   const admin = await startAdmin(t, ACCEPTED);
-  const run = await submit([await deadUrl(), admin.url]);
+  const run = await submit([await closedUrl(), admin.url]);
   t.is(run.exitCode, 0);
   t.deepEqual(run.delaysMs, []);
 });
 
-// The instance took the ticket and its answer was lost, or it could not learn
-// what the store did. Asking under the same number settles it: the operator
-// sees one acceptance and nothing is done twice.
+// The instance accepted the ticket and its answer was lost, or the instance did
+// not learn the outcome from the store. Sending the same number again settles
+// it: the operator sees one acceptance and nothing is applied twice.
 for (const lost of [UNKNOWN, 'hang_up'] as const) {
   const how = lost === 'hang_up' ? 'a lost answer' : 'an unknown outcome';
-  test(`${how} is settled by asking under the same number`, async t => {
-    const admin = await startAdmin(t, lost, lost, ALREADY);
+  test(`${how} is resolved by sending the ticket again with the same number`, async t => {
+    const admin = await startAdmin(t, lost, lost, ALREADY_ACCEPTED);
     const run = await submit([admin.url]);
     t.is(run.exitCode, 0);
     t.is(JSON.parse(run.out).outcome, 'already_accepted');
@@ -86,9 +89,9 @@
   });
 }
 
-// The store stays away. One instance may have written the ticket before, the
-// other could do nothing; saying "nothing took effect" would be a lie.
-test('once in doubt, an unavailable store does not make it certain', async t => {
+// The store stays unavailable. The first instance may have written the ticket,
+// the second could not. Guards against reporting that nothing took effect.
+test('an unknown outcome stays unknown when the store is unavailable afterwards', async t => {
   const first = await startAdmin(t, 'hang_up', UNAVAILABLE);
   const second = await startAdmin(t, UNAVAILABLE);
   const run = await submit([first.url, second.url]);
@@ -98,9 +101,9 @@
   t.deepEqual(run.delaysMs, [500, 1000, 2000, 4000]);
 });
 
-test('a store that is down is told as nothing having taken effect', async t => {
+test('while the store is down, the command reports that nothing took effect', async t => {
   const admin = await startAdmin(t, UNAVAILABLE);
-  const run = await submit([admin.url, await deadUrl()]);
+  const run = await submit([admin.url, await closedUrl()]);
   t.is(run.exitCode, 5);
   t.regex(JSON.parse(run.out).error.message, /Nothing took effect/);
 });
@@ -126,7 +129,7 @@
   });
 }
 
-test('faults that only the instance can see are printed with paths', async t => {
+test('faults found by the instance are printed with their paths', async t => {
   const faults = [{path: 'endpoint/a.serves.model', message: 'is not there'}];
   const reply = answer(422, {outcome: 'invalid', faults});
   const admin = await startAdmin(t, reply);
--- a/packages/cli/src/commands/ticket_submit/ticket_submit.ts
+++ b/packages/cli/src/commands/ticket_submit/ticket_submit.ts
@@ -31,7 +31,7 @@
     ],
     notes:
       'A ticket is safe to send again: the same number with the same content ' +
-      'is\ntaken once. Nothing of a refused ticket takes effect.',
+      'is\napplied once. Nothing of a refused ticket takes effect.',
   };
 
   protected override addArguments(command: Command): void {
--- a/packages/cli/src/commands/ticket_validate/ticket_validate.ts
+++ b/packages/cli/src/commands/ticket_validate/ticket_validate.ts
@@ -1,4 +1,4 @@
-/** `snipestage ticket validate`: tells a ticket's faults without sending it. */
+/** `snipestage ticket validate`: checks a ticket without submitting it. */
 
 import {checkTicket} from '@snipestage/configuration/ticket_schema.js';
 import type {Command} from 'commander';
@@ -15,14 +15,14 @@
   type CommandDescription,
 } from '../cli_command.js';
 
-/** Tells a ticket’s faults. */
+/** Reports the faults of a ticket. */
 @injectable()
 @injectFromBase()
 export class TicketValidate extends CliCommand {
   readonly description: CommandDescription = {
     group: 'ticket',
     name: 'validate',
-    summary: 'tell all faults of a ticket; nothing takes effect',
+    summary: 'report all faults of a ticket; nothing takes effect',
     examples: [
       'ticket validate first_classes.json',
       'ticket validate first_classes.json --offline',
@@ -61,10 +61,10 @@
       body: checked.ticket,
     });
     const {faults} = readAnswer(reply, validateAnswer);
-    const message = 'The ticket does not fit what is in force.';
+    const message = 'The ticket does not fit the configuration in force.';
     if (faults.length > 0) return reportFaults(reporter, message, faults);
   }
-  const against = offline ? 'by itself' : 'against what is in force';
+  const against = offline ? 'by itself' : 'against the configuration in force';
   const text = `Ticket ${checked.ticket.number} is valid, checked ${against}.\n`;
   reporter.result({faults: []}, text);
   return EXIT_OK;
--- a/packages/cli/src/composition.ts
+++ b/packages/cli/src/composition.ts
@@ -1,4 +1,4 @@
-/** Puts the program together. */
+/** Creates the commands with their dependencies. */
 
 import 'reflect-metadata';
 import {Container} from 'inversify';
@@ -34,7 +34,7 @@
 ];
 
 /**
- * All commands, made for one terminal.
+ * Creates all commands for a terminal.
  *
  * @example
  * for (const command of assembleCommands(terminal)) command.addTo(program, finish);
--- a/packages/cli/src/input/read_input.ts
+++ b/packages/cli/src/input/read_input.ts
@@ -1,4 +1,4 @@
-/** Reads what a command is given: JSON files and the operator key. */
+/** Reads the input of commands: JSON files and the operator key. */
 
 import {readFileSync} from 'node:fs';
 import {InputError} from '@snipestage/errors/request_error.js';
@@ -7,13 +7,13 @@
 import {KEY_VARIABLE, type GlobalOptions} from '../options.js';
 import type {Terminal} from '../terminal.js';
 
-/** Stands for standard input in place of a file name. */
+/** File name that stands for standard input. */
 export const STANDARD_INPUT = '-';
 
 /**
  * Reads a JSON document.
  *
- * @throws InputError when it can't be read or is no JSON.
+ * @throws InputError when it can't be read or isn't JSON.
  * @example
  * const input = await readJson('ticket.json', terminal);
  */
@@ -34,9 +34,10 @@
 }
 
 /**
- * The operator key, from the file if one is named, else from the environment.
+ * Reads the operator key from the given file, else from the environment.
  *
- * @throws CommandError when there is none.
+ * @throws CommandError when there is none, InputError when the file can't be
+ *   read.
  * @example
  * const key = readOperatorKey(options, terminal);
  */
@@ -60,10 +61,13 @@
   try {
     return readFileSync(file, 'utf8');
   } catch (cause) {
-    throw new InputError(`${file} can't be read. Check name and rights.`, {
-      cause,
-      faults: [{path: '', message: messageOf(cause)}],
-    });
+    throw new InputError(
+      `${file} can't be read. Check its name and permissions.`,
+      {
+        cause,
+        faults: [{path: '', message: messageOf(cause)}],
+      },
+    );
   }
 }
 
--- a/packages/cli/src/main.test.ts
+++ b/packages/cli/src/main.test.ts
@@ -17,7 +17,7 @@
   ],
 };
 
-test('ticket list prints a line a ticket', async t => {
+test('ticket list prints one line for each ticket', async t => {
   const admin = await startAdmin(t, {tickets: [TICKET]});
   const run = await runCommand(['ticket', 'list', '--admin-url', admin.url]);
   t.is(run.exitCode, 0);
@@ -35,7 +35,7 @@
   t.is(admin.seen[0].call, 'GET /admin/v1/tickets/7');
 });
 
-test('status prints what an instance sees', async t => {
+test('status prints the state of an instance', async t => {
   const admin = await startAdmin(t, {
     instance: 'akl-a-1',
     ready: false,
@@ -78,7 +78,7 @@
   );
 });
 
-test('dump prints all that it is given', async t => {
+test('dump prints the whole answer', async t => {
   const state = {cells: [{id: 'c-1', waiting: 3}]};
   const admin = await startAdmin(t, state);
   const run = await runCommand(['dump', '--admin-url', admin.url]);
@@ -93,9 +93,9 @@
   t.regex(run.error, /No ticket 9 was accepted/);
 });
 
-// An operator drains an instance that hangs. If the command turned to the next
-// address, a healthy instance would go down in its place.
-test('drain asks one instance and never another', async t => {
+// Guards against draining a healthy instance in place of one that hangs, which
+// would happen if the command went on to the next address.
+test('drain requires a single instance and calls no other', async t => {
   const admin = await startAdmin(t, {});
   const urls = ['--admin-url', 'http://127.0.0.1:1', '--admin-url', admin.url];
   t.is((await runCommand(['drain', ...urls])).exitCode, 2);
@@ -104,7 +104,7 @@
   t.is(admin.seen[0].call, 'POST /admin/v1/drain');
 });
 
-test('an instance of another kind is told by its answer', async t => {
+test('an answer of another kind of server is not understood', async t => {
   const admin = await startAdmin(t, {hello: 'world'});
   const run = await runCommand(['status', '--admin-url', admin.url]);
   t.is(run.exitCode, 5);
@@ -121,7 +121,7 @@
   t.is((await runCommand(['keys', 'hash'], newKey)).out, `${keyHash}\n`);
 });
 
-const BAD_LINES: ReadonlyArray<[string[], string, number, RegExp]> = [
+const FAILING_RUNS: ReadonlyArray<[string[], string, number, RegExp]> = [
   [['nosuch'], '', 2, /unknown command/],
   [['status', '--nosuch'], '', 2, /unknown option/],
   [['status', '--admin-url', '10.0.0.1:8081'], '', 2, /is no URL/],
@@ -134,7 +134,7 @@
   [['keys', 'hash'], 'short', 3, /at least 24/],
 ];
 
-for (const [args, input, exitCode, message] of BAD_LINES) {
+for (const [args, input, exitCode, message] of FAILING_RUNS) {
   test(`${args.join(' ')} < '${input}' ends with ${exitCode}`, async t => {
     const run = await runCommand(args, input);
     t.is(run.exitCode as number, exitCode);
@@ -143,7 +143,7 @@
   });
 }
 
-test('every command shows examples and asking for help is no error', async t => {
+test('the help of a command shows examples and ends with exit code 0', async t => {
   const commands = [
     ...['submit', 'validate', 'show', 'list'].map(name => ['ticket', name]),
     ...['status', 'dump', 'usage', 'drain'].map(name => [name]),
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -13,8 +13,9 @@
 import {ProcessTerminal, type Terminal} from './terminal.js';
 
 /**
- * Runs one command line, without the names of runtime and program.
+ * Runs one command line.
  *
+ * @param args without the names of the runtime and the program.
  * @returns the exit code.
  * @example
  * process.exitCode = await runCommandLine(['status', '--json']);
@@ -31,7 +32,7 @@
     await program.parseAsync([...args], {from: 'user'});
   } catch (error) {
     if (!(error instanceof CommanderError)) throw error;
-    // Help that was asked for ends this way too, with 0.
+    // Commander also throws after printing requested help, with exit code 0.
     return error.exitCode === 0 ? EXIT_OK : EXIT_USAGE;
   }
   return exitCode;
@@ -47,7 +48,7 @@
       writeOut: text => terminal.writeOut(text),
       writeErr: text => terminal.writeError(text),
     })
-    .showHelpAfterError('(--help shows how it is used)')
+    .showHelpAfterError('(use --help to show the usage)')
     .exitOverride()
     .addHelpText('after', describeExitCodes());
   for (const command of assembleCommands(terminal)) {
--- a/packages/cli/src/operations_page.test.ts
+++ b/packages/cli/src/operations_page.test.ts
@@ -12,7 +12,7 @@
   'utf8',
 );
 
-/** Cells of the tables under a heading by the first one, without quotes. */
+/** Table rows under a heading by their first cell, without backticks. */
 function rowsUnder(heading: string): Map<string, string[]> {
   const section = PAGE.split(/^## /m).find(each => each.startsWith(heading));
   const rows = (section ?? '')
--- a/packages/cli/src/options.ts
+++ b/packages/cli/src/options.ts
@@ -1,8 +1,8 @@
-/** Options that every command takes. */
+/** Options of every command. */
 
 import type {Command} from 'commander';
 
-/** Asked when no address is given. */
+/** Address of the instance to call when none is given. */
 export const DEFAULT_ADMIN_URL = 'http://127.0.0.1:8081';
 /** Environment variable with the operator key. */
 export const KEY_VARIABLE = 'SNIPESTAGE_OPERATOR_KEY';
@@ -10,7 +10,7 @@
 /** The values of these options. */
 export interface GlobalOptions {
   readonly json: boolean;
-  /** In the order in which they are tried. */
+  /** Addresses of instances, in the order in which they are tried. */
   readonly adminUrl: readonly string[];
   readonly keyFile?: string;
 }
@@ -37,7 +37,7 @@
 }
 
 /**
- * The options as given to a command or any of its parents.
+ * Reads the options given to a command or any of its parents.
  *
  * @example
  * const {json, adminUrl} = readGlobalOptions(command);
--- a/packages/cli/src/output/format_table.ts
+++ b/packages/cli/src/output/format_table.ts
@@ -1,9 +1,9 @@
-/** Lays out rows for a person. */
+/** Formats rows as a text table. */
 
-const GAP = '  ';
+const COLUMN_SEPARATOR = '  ';
 
 /**
- * Columns aligned to the left under their headings.
+ * Aligns columns to the left under their headings.
  *
  * @example
  * formatTable(['number', 'author'], [[7, 'mere']]);
@@ -20,6 +20,6 @@
   );
   return cells
     .map(row => row.map((cell, column) => cell.padEnd(widths[column])))
-    .map(row => `${row.join(GAP).trimEnd()}\n`)
+    .map(row => `${row.join(COLUMN_SEPARATOR).trimEnd()}\n`)
     .join('');
 }
--- a/packages/cli/src/output/reporter.ts
+++ b/packages/cli/src/output/reporter.ts
@@ -4,25 +4,25 @@
 import type {ExitCode} from '../exit_codes.js';
 import type {Terminal} from '../terminal.js';
 
-/** An error as it is printed. */
+/** An error to print. */
 export interface ReportedError {
   readonly message: string;
   readonly exitCode: ExitCode;
   readonly faults: readonly Fault[];
 }
 
-/** One way of printing. */
+/** Output format of a command. */
 export abstract class Reporter {
-  /** Prints a result: its data to scripts, the text to people. */
+  /** Prints a result: its data for scripts, or the text for people. */
   abstract result(data: unknown, text: string): void;
 
   abstract error(error: ReportedError): void;
 
-  /** Says what is going on, where a person would otherwise wait in the dark. */
+  /** Prints what a command is doing while a person waits for its result. */
   abstract progress(text: string): void;
 }
 
-/** Results on standard output, all else on standard error. */
+/** Prints text: results on standard output, all else on standard error. */
 export class TextReporter extends Reporter {
   constructor(private readonly terminal: Terminal) {
     super();
@@ -46,7 +46,7 @@
   }
 }
 
-/** One JSON document on standard output, whether it went well or not. */
+/** Prints one JSON document on standard output, a result or an error. */
 export class JsonReporter extends Reporter {
   constructor(private readonly terminal: Terminal) {
     super();
--- a/packages/cli/src/terminal.ts
+++ b/packages/cli/src/terminal.ts
@@ -1,21 +1,21 @@
-/** Where a command reads and writes. */
+/** Input and output of commands. */
 
 import {text} from 'node:stream/consumers';
 
 /** Streams and environment of the process, replaced in tests. */
 export abstract class Terminal {
-  /** Results, for people or scripts. */
+  /** Writes results, for people or scripts. */
   abstract writeOut(text: string): void;
 
-  /** What went wrong and what is going on. */
+  /** Writes errors and progress. */
   abstract writeError(text: string): void;
 
-  /** All of standard input. */
+  /** Reads standard input to its end. */
   abstract readInput(): Promise<string>;
 
   abstract variable(name: string): string | undefined;
 
-  /** Waits before something is tried again. */
+  /** Waits before a retry. */
   abstract sleep(delayMs: number): Promise<void>;
 }
 
--- a/packages/cli/src/test_support/fake_admin.ts
+++ b/packages/cli/src/test_support/fake_admin.ts
@@ -1,4 +1,4 @@
-/** Small fakes for the tests of the command. */
+/** Fakes for the tests of the commands. */
 
 import {once} from 'node:events';
 import {createServer, type IncomingMessage, type Server} from 'node:http';
@@ -8,18 +8,18 @@
 import {runCommandLine} from '../main.js';
 import {Terminal} from '../terminal.js';
 
-/** What the server does with a call; `hang_up` takes it and never answers. */
+/** Reply to a call; `hang_up` closes the connection without an answer. */
 export type FakeReply =
   'hang_up' | {readonly status: number; readonly body: unknown};
 
-/** A call as it arrived. */
+/** A call that arrived. */
 export interface SeenCall {
   readonly call: string;
   readonly authorization: string | undefined;
   readonly body: unknown;
 }
 
-/** An administration API that answers as told, the last reply again and again. */
+/** An administration API with given replies, of which the last is repeated. */
 export class FakeAdmin {
   readonly seen: SeenCall[] = [];
 
@@ -35,7 +35,7 @@
     const {port} = server.address() as AddressInfo;
     const fake = new FakeAdmin(`http://127.0.0.1:${port}`, server);
     server.on('request', (request, response) => {
-      void fake.see(request).then(() => {
+      void fake.record(request).then(() => {
         const reply = replies[Math.min(fake.seen.length, replies.length) - 1];
         if (reply === 'hang_up') return request.socket.destroy();
         response.statusCode = reply.status;
@@ -51,7 +51,7 @@
     await once(this.server, 'close');
   }
 
-  private async see(request: IncomingMessage): Promise<void> {
+  private async record(request: IncomingMessage): Promise<void> {
     const body = await text(request);
     this.seen.push({
       call: `${request.method} ${request.url}`,
@@ -61,7 +61,7 @@
   }
 }
 
-/** Keeps what a command writes, and waits for nothing. */
+/** Records what a command writes and its delays, without waiting. */
 export class FakeTerminal extends Terminal {
   out = '';
   error = '';
@@ -95,7 +95,7 @@
   }
 }
 
-/** How a command line ended. */
+/** Result of a command line. */
 export interface CommandRun {
   readonly exitCode: ExitCode;
   readonly out: string;
--- a/packages/cli/src/tokens.ts
+++ b/packages/cli/src/tokens.ts
@@ -1,4 +1,4 @@
-/** Tokens by which the container hands out what commands are made from. */
+/** Tokens of the container that creates the commands. */
 
 /** Bound to the {@link Terminal} in use. */
 export const TERMINAL = Symbol('Terminal');
--- a/packages/platform/src/http_platform.ts
+++ b/packages/platform/src/http_platform.ts
@@ -1,4 +1,4 @@
-/** The platform over HTTP, as docs/INTERFACES.md describes it. */
+/** Client of the platform's HTTP interface, described in docs/INTERFACES.md. */
 
 import {FreshConnection} from '@snipestage/connection/fresh_connection.js';
 import type {
@@ -36,21 +36,21 @@
 const CONFLICT = 409;
 const UNPROCESSABLE = 422;
 
-/** Where the platform is and how long it may take. */
+/** Address, token and timeout of the platform. */
 export interface HttpPlatformOptions {
   readonly url: string;
   readonly token: string;
   readonly timeoutMs?: number;
 }
 
-/** How one call ended: an answer, or none with the reason. */
+/** Result of one call: an answer, or the reason why there is none. */
 type Exchange =
   | {readonly kind: 'answered'; readonly status: number; readonly body: Buffer}
   | {readonly kind: 'no_answer'; readonly reason: string};
 
 /**
- * Speaks to the platform with `got`. Its own retries are off: whether a call
- * whose answer was lost may be made again is decided by the protocols above.
+ * Calls the platform with `got`, whose own retries are off: the protocols above
+ * decide whether a call whose answer was lost may be repeated.
  *
  * @example
  * const platform = new HttpPlatform({url: 'http://127.0.0.1:9000', token});
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Sends over a connection opened beforehand, so that the guard is asked at
-   * the very moment of the send and an abort resets it.
+   * Sends over a connection opened beforehand, so that the guard is checked at
+   * the moment of sending and an abort resets the connection.
    */
   private async guardedPost(
     path: string,
--- a/packages/platform/src/platform.ts
+++ b/packages/platform/src/platform.ts
@@ -1,6 +1,6 @@
 /**
- * What the system needs of the platform. The users' own interface takes the
- * place of the stand-in's by another subclass.
+ * Interface to the platform that the router runs on. The stand-in and the
+ * users' own platform have different subclasses.
  */
 
 import type {
@@ -17,7 +17,7 @@
   TransactionResult,
 } from '@snipestage/types/table.js';
 
-/** A list, or the reason why none could be had. */
+/** A list, or the reason why it could not be read. */
 export type ListResult<Item> =
   | {readonly kind: 'listed'; readonly items: readonly Item[]}
   | {readonly kind: 'unavailable'; readonly reason: string};
@@ -28,14 +28,14 @@
   | {readonly kind: 'absent'}
   | {readonly kind: 'unavailable'; readonly reason: string};
 
-/** How a put ended; `unknown` may have taken effect. */
+/** Result of a put; `unknown` may have taken effect. */
 export type PutResult =
   | {readonly kind: 'stored'}
   | {readonly kind: 'unknown'; readonly reason: string};
 
 /**
- * Answers never throw: each says by its kind what is known. No call repeats
- * itself; whether to ask again is the caller's decision.
+ * Calls never throw: the kind of each result states what is known. No call is
+ * retried here; whether to repeat it is the caller's decision.
  */
 export abstract class Platform {
   /** Reads rows by key; absent rows are left out. */
@@ -52,8 +52,8 @@
   abstract putObject(key: string, body: Buffer): Promise<PutResult>;
 
   /**
-   * Orders endpoints. `mayStillSend` is asked in the same turn of the event
-   * loop in which the bytes are handed to the connection; when it says no,
+   * Orders endpoints. `mayStillSend` is called in the same turn of the event
+   * loop in which the bytes are handed to the connection; if it returns false,
    * nothing is sent and the order is `not_sent`. `signal` resets the connection,
    * so that the kernel can't deliver the order after the lease's term.
    */
@@ -68,14 +68,14 @@
     guard: SendGuard,
   ): Promise<ReportResult>;
 
-  /** Entry instances; the list lags. */
+  /** Lists entry instances; the list may be out of date. */
   abstract listInstances(): Promise<ListResult<ListedInstance>>;
 
-  /** Endpoints that the platform runs or is about to; the list lags. */
+  /** Lists endpoints that run or will be started; it may be out of date. */
   abstract listEndpoints(): Promise<ListResult<ListedEndpoint>>;
 }
 
-/** Lets a send happen only within a lease's term. */
+/** Allows a send only within a lease's term. */
 export interface SendGuard {
   readonly mayStillSend: () => boolean;
   readonly signal: AbortSignal;
--- a/packages/platform/src/wire_schemas.ts
+++ b/packages/platform/src/wire_schemas.ts
@@ -1,4 +1,4 @@
-/** What the platform's answers must look like; others count as no answer. */
+/** Schemas of the platform's answers; one that doesn't match counts as none. */
 
 import {z} from 'zod';
 
