--- a/packages/soak/src/checks/answers.ts
+++ b/packages/soak/src/checks/answers.ts
@@ -2,7 +2,7 @@
 
 import {
   digest,
-  wholeStream,
+  completeStreamText,
 } from '@snipestage/platform_stand_ins/endpoint_stand_in.js';
 import type {History, Outcome, SentRequest} from '../history.js';
 import {Check, mayRunOnce, type Finding} from './check.js';
@@ -73,7 +73,7 @@
     }
     const expected =
       request.kind === 'stream' && isSuccess
-        ? digest(wholeStream(request.requestId, request.path))
+        ? digest(completeStreamText(request.requestId, request.path))
         : run.answerDigest;
     return bodyDigest === expected ? undefined : 'not the whole answer';
   }
--- a/packages/soak/src/world/request_draw.ts
+++ b/packages/soak/src/world/request_draw.ts
@@ -3,7 +3,7 @@
 import {randomInt} from 'd3-random';
 import {
   digest,
-  LASTS_PARAMETER,
+  STREAM_DURATION_PARAMETER,
 } from '@snipestage/platform_stand_ins/endpoint_stand_in.js';
 import type {Route} from '@snipestage/routing/route.js';
 import type {SentRequest} from '../history.js';
@@ -77,7 +77,7 @@
     const {source} = this.options;
     const range = LONGEST_LONG_STREAM_MS - SHORTEST_LONG_STREAM_MS;
     const lastsMs = Math.round(SHORTEST_LONG_STREAM_MS + source() * range);
-    const query = `&${LASTS_PARAMETER}=${lastsMs}`;
+    const query = `&${STREAM_DURATION_PARAMETER}=${lastsMs}`;
     const drawn = this.compose(instance, route, query, LONGEST_PATIENCE_MS);
     return {...drawn, isLong: true};
   }
