--- a/packages/soak/src/checks/answers.ts
+++ b/packages/soak/src/checks/answers.ts
@@ -114,8 +114,8 @@
 
   find(history: History): readonly Finding[] {
     return history.requests.flatMap(request => {
-      const {sentAtMs, waitsForMs, outcome, instance} = request;
-      const dueMs = sentAtMs + waitsForMs + LATE_ANSWER_MS;
+      const {sentAtMs, callerTimeoutMs, outcome, instance} = request;
+      const dueMs = sentAtMs + callerTimeoutMs + LATE_ANSWER_MS;
       const isLate =
         outcome?.kind === 'unanswered' &&
         history.isInTouch(instance, sentAtMs, dueMs) &&
--- a/packages/soak/src/checks/checks.test.ts
+++ b/packages/soak/src/checks/checks.test.ts
@@ -279,7 +279,7 @@
   };
   const late = {...broken, endedAtMs: 10_500};
   t.deepEqual(findersOf(late, [makeRun()], stoppedAt(3000)), ['nothing_lost']);
-  const early = {...broken, endedAtMs: 15_000, waitsForMs: 9000};
+  const early = {...broken, endedAtMs: 15_000, callerTimeoutMs: 9000};
   t.deepEqual(findersOf(early, [makeRun()], stoppedAt(8000)), []);
 });
 
--- a/packages/soak/src/checks/limits.ts
+++ b/packages/soak/src/checks/limits.ts
@@ -24,7 +24,8 @@
 
   find(history: History): readonly Finding[] {
     return history.requests.flatMap(request => {
-      const endsAtMs = request.sentAtMs + request.waitsForMs + TIME_SLACK_MS;
+      const endsAtMs =
+        request.sentAtMs + request.callerTimeoutMs + TIME_SLACK_MS;
       const wrong = history
         .arrivalsOf(request.requestId)
         .filter(
--- a/packages/soak/src/history.ts
+++ b/packages/soak/src/history.ts
@@ -63,7 +63,7 @@
   readonly clientAccount: ClientAccountId;
   /** The configuration's marker that it asks for, if it does. */
   readonly marker: number | undefined;
-  readonly waitsForMs: number;
+  readonly callerTimeoutMs: number;
   readonly sentAtMs: number;
   /** When the connection was opened over which it was sent. */
   connectedAtMs?: number;
--- a/packages/soak/src/test_support/small_history.ts
+++ b/packages/soak/src/test_support/small_history.ts
@@ -25,7 +25,7 @@
     key: 'key-1',
     clientAccount: brandAs<ClientAccountId>('shop-1'),
     marker: undefined,
-    waitsForMs: 1500,
+    callerTimeoutMs: 1500,
     sentAtMs: 10_000,
     lastByteAtMs: 10_001,
     endedAtMs: 10_050,
--- a/packages/soak/src/world/caller.ts
+++ b/packages/soak/src/world/caller.ts
@@ -76,7 +76,7 @@
         headers: composeCallerHeaders({
           requestId: brandAs<RequestId>(request.requestId),
           host: HOST,
-          waitsForMs: request.waitsForMs,
+          callerTimeoutMs: request.callerTimeoutMs,
           key: request.key,
           promptTokens,
         }),
@@ -89,7 +89,7 @@
       };
       const patience = setTimeout(
         () => end({kind: 'unanswered'}),
-        request.waitsForMs + PATIENCE_MS,
+        request.callerTimeoutMs + PATIENCE_MS,
       );
       const leave =
         leavesAfterMs === undefined
--- a/packages/soak/src/world/request_draw.ts
+++ b/packages/soak/src/world/request_draw.ts
@@ -65,7 +65,7 @@
     if (source() >= LEAVING_SHARE) return drawn;
     // More leave soon than late: before another endpoint is asked for them.
     const shareOfWait = source() * source();
-    const leavesAfterMs = shareOfWait * drawn.request.waitsForMs;
+    const leavesAfterMs = shareOfWait * drawn.request.callerTimeoutMs;
     return {...drawn, leavesAfterMs};
   }
 
@@ -99,7 +99,7 @@
     instance: Instance,
     route: Route,
     query: string,
-    waitsForMs: number,
+    callerTimeoutMs: number,
   ): DrawnRequest {
     const {operator, nowMs, seed} = this.options;
     const body = route.kind === 'idempotent' ? '' : this.drawBody();
@@ -115,7 +115,7 @@
       bodyDigest: digest(body),
       ...this.pick(operator.keys),
       marker: undefined,
-      waitsForMs,
+      callerTimeoutMs,
       sentAtMs: nowMs(),
     };
     const isStream = route.kind === 'stream';
