--- a/packages/entry/src/send/model_runner.test.ts
+++ b/packages/entry/src/send/model_runner.test.ts
@@ -129,7 +129,7 @@
   };
 }
 
-function createFixture(...scripts: Script[]) {
+function createWorld(...scripts: Script[]) {
   const driver = new ScriptedDriver(scripts);
   const permits = new CountingPermits();
   const runner = new ModelRunner({
@@ -149,57 +149,57 @@
 test('a broken stream is resumed at the same engine', async t => {
   // The connection to an engine is reset while the engine keeps generating. The
   // caller must get each token once, and no token may be generated twice.
-  const fixture = createFixture(
+  const world = createWorld(
     {tokens: ['a', 'b'], fails: 'broken'},
     {tokens: ['c']},
   );
-  const usage = await fixture.run();
-  t.is(fixture.sink.text, 'abc');
+  const usage = await world.run();
+  t.is(world.sink.text, 'abc');
   t.deepEqual(usage, {promptTokens: 3, outputTokens: 3});
-  t.is(fixture.driver.calls[1].resumeOffset, 2);
-  t.is(fixture.driver.calls[1].attempt, fixture.driver.calls[0].attempt);
-  t.is(fixture.permits.reports.length, 1);
+  t.is(world.driver.calls[1].resumeOffset, 2);
+  t.is(world.driver.calls[1].attempt, world.driver.calls[0].attempt);
+  t.is(world.permits.reports.length, 1);
 });
 
 test('another engine continues the answer of a crashed one', async t => {
   // An engine crashes in the middle of an answer. The caller must get the rest
   // from another engine, each token once.
-  const fixture = createFixture(
+  const world = createWorld(
     {tokens: ['a', 'b'], fails: 'broken'},
     {tokens: [], fails: 'unreachable'},
     {tokens: ['c']},
   );
-  await fixture.run();
-  t.is(fixture.sink.text, 'abc');
-  const {body, attempt} = fixture.driver.calls[2];
+  await world.run();
+  t.is(world.sink.text, 'abc');
+  const {body, attempt} = world.driver.calls[2];
   t.is(attempt, brandAs<AttemptId>('r.2'));
   t.like(body, {max_tokens: 8, continue_final_message: true});
   t.deepEqual((body.messages as object[])[1], {
     role: 'assistant',
     content: 'ab',
   });
-  t.deepEqual(fixture.permits.requests[1].excluded, [brandAs('e1')]);
-  t.is(fixture.permits.reports[0].outcome, 'crashed');
+  t.deepEqual(world.permits.requests[1].excluded, [brandAs('e1')]);
+  t.is(world.permits.reports[0].outcome, 'crashed');
 });
 
 test('a request that fails at all engines is refused with the worst verdict', async t => {
-  const fixture = createFixture(
+  const world = createWorld(
     {tokens: [], fails: 'unreachable'},
     {tokens: [], fails: 'errored'},
     {tokens: [], fails: 'unreachable'},
   );
-  const error = await t.throwsAsync(fixture.run(), {instanceOf: RequestError});
+  const error = await t.throwsAsync(world.run(), {instanceOf: RequestError});
   t.is(error.refusal.code, 'endpoint_failed');
   t.is(error.refusal.verdict, 'may_have_run');
-  t.is(fixture.permits.reports.length, 3);
+  t.is(world.permits.reports.length, 3);
 });
 
 test('an attempt is cancelled at its engine when the caller disconnects', async t => {
   // The caller disconnects in the middle of an answer. Without the cancel call
   // the engine would go on generating tokens that nobody reads.
-  const fixture = createFixture({tokens: ['a'], fails: 'cancelled'});
-  fixture.abort.abort();
-  await t.throwsAsync(fixture.run());
-  t.deepEqual(fixture.driver.cancelled, ['r.1']);
-  t.is(fixture.permits.reports[0].outcome, 'cancelled');
+  const world = createWorld({tokens: ['a'], fails: 'cancelled'});
+  world.abort.abort();
+  await t.throwsAsync(world.run());
+  t.deepEqual(world.driver.cancelled, ['r.1']);
+  t.is(world.permits.reports[0].outcome, 'cancelled');
 });
