--- a/packages/entry/src/admit/claim_desk.ts
+++ b/packages/entry/src/admit/claim_desk.ts
@@ -158,7 +158,7 @@
     const recorded = recorder.read();
     if (recorded === undefined) return {kind: 'unknown', verdict: 'ran'};
     const {answers} = this.options;
-    const answer = await answers.keep(attemptOf(request), recorded);
+    const answer = await answers.store(attemptOf(request), recorded);
     if (answer === undefined) return {kind: 'unknown', verdict: 'ran'};
     return {kind: 'ran', answer};
   }
--- a/packages/entry/src/admit/kept_answers.ts
+++ b/packages/entry/src/admit/kept_answers.ts
@@ -22,7 +22,7 @@
    * Stores an answer; gives `undefined` when the object store didn't confirm
    * the write.
    */
-  async keep(
+  async store(
     attempt: AttemptId,
     answer: RecordedAnswer,
   ): Promise<KeptAnswer | undefined> {
--- a/packages/entry/src/admit/response_recorder.ts
+++ b/packages/entry/src/admit/response_recorder.ts
@@ -2,14 +2,14 @@
 
 import type {OutgoingHttpHeaders, ServerResponse} from 'node:http';
 
-/** An answer as sent to the caller, without {@link NON_REPLAYED_HEADERS}. */
+/** An answer as sent to the caller, without {@link NOT_REPLAYED}. */
 export interface RecordedAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer;
 }
 
-const NON_REPLAYED_HEADERS: ReadonlySet<string> = new Set([
+const NOT_REPLAYED: ReadonlySet<string> = new Set([
   'x-request-id',
   'connection',
   'content-length',
@@ -116,8 +116,7 @@
 ): Record<string, string> {
   const kept: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || NON_REPLAYED_HEADERS.has(name.toLowerCase()))
-      continue;
+    if (value === undefined || NOT_REPLAYED.has(name.toLowerCase())) continue;
     kept[name] = String(value);
   }
   return kept;
--- a/packages/entry/src/listen/service_path.test.ts
+++ b/packages/entry/src/listen/service_path.test.ts
@@ -16,12 +16,8 @@
   const {path} = parseServicePath('/services/booking/stock/../bookings');
   t.is(path, '/bookings');
   t.is(findOperation(SERVICE, 'GET', path), undefined);
-  for (const rejectedPath of [
-    '/stock%2f..%2fbookings',
-    '//bookings',
-    '/a\\b',
-  ]) {
-    t.throws(() => parseServicePath(`/services/booking${rejectedPath}`), {
+  for (const badPath of ['/stock%2f..%2fbookings', '//bookings', '/a\\b']) {
+    t.throws(() => parseServicePath(`/services/booking${badPath}`), {
       instanceOf: RequestError,
     });
   }
--- a/packages/entry/src/send/model_runner.ts
+++ b/packages/entry/src/send/model_runner.ts
@@ -291,7 +291,8 @@
 }
 
 /**
- * The refusal that the signal aborted with, with the verdict over all attempts.
+ * The refusal that the signal aborted with, or one for a caller that has
+ * disconnected; with the verdict over all attempts.
  */
 function abortReason(signal: AbortSignal, verdict: Verdict): RequestError {
   const reason: unknown = signal.reason;
