--- a/packages/entry/src/send/model_runner.test.ts
+++ b/packages/entry/src/send/model_runner.test.ts
@@ -26,7 +26,7 @@
 } from './engine_driver.js';
 import {ModelRunner, type ModelWork} from './model_runner.js';
 
-/** One connection to an engine: tokens, then an end or a failure. */
+/** Script of one connection to an engine: tokens, then the end or a failure. */
 interface Script {
   readonly tokens: readonly string[];
   readonly fails?: EndpointErrorKind;
@@ -147,8 +147,8 @@
 }
 
 test('a broken stream is resumed at the same engine', async t => {
-  // The connection to an engine is reset while the engine goes on working. The
-  // caller notices nothing and no token is made twice.
+  // The connection to an engine is reset while the engine keeps generating. The
+  // caller must get each token once, and no token may be generated twice.
   const world = createWorld(
     {tokens: ['a', 'b'], fails: 'broken'},
     {tokens: ['c']},
@@ -161,9 +161,9 @@
   t.is(world.permits.reports.length, 1);
 });
 
-test('another engine goes on where a crashed one broke off', async t => {
-  // An engine crashes in the middle of an answer. The caller gets the rest from
-  // another engine, each token once.
+test('another engine continues the answer of a crashed one', async t => {
+  // An engine crashes in the middle of an answer. The caller must get the rest
+  // from another engine, each token once.
   const world = createWorld(
     {tokens: ['a', 'b'], fails: 'broken'},
     {tokens: [], fails: 'unreachable'},
@@ -182,7 +182,7 @@
   t.is(world.permits.reports[0].outcome, 'crashed');
 });
 
-test('a request that fails everywhere is refused with its true verdict', async t => {
+test('a request that fails at all engines is refused with the worst verdict', async t => {
   const world = createWorld(
     {tokens: [], fails: 'unreachable'},
     {tokens: [], fails: 'errored'},
@@ -194,9 +194,9 @@
   t.is(world.permits.reports.length, 3);
 });
 
-test('a caller that hangs up has its engine stopped', async t => {
-  // A tramper walks away in the middle of an answer. Without the cancel the
-  // engine would go on producing tokens for nobody.
+test('an attempt is cancelled at its engine when the caller disconnects', async t => {
+  // The caller disconnects in the middle of an answer. Without the cancel call
+  // the engine would go on generating tokens that nobody reads.
   const world = createWorld({tokens: ['a'], fails: 'cancelled'});
   world.abort.abort();
   await t.throwsAsync(world.run());
