--- a/packages/entry/src/account/usage_copies.ts
+++ b/packages/entry/src/account/usage_copies.ts
@@ -1,4 +1,7 @@
-/** Copies of other instances' counters, written when such an instance dies. */
+/**
+ * Copies of other instances' usage counters, written to the table when such an
+ * instance dies.
+ */
 
 import {findRow} from '@snipestage/agreement/table_effects.js';
 import {planCopyWrite} from '@snipestage/agreement/usage_counters.js';
@@ -8,17 +11,20 @@
 import {applyChange, type UsageCopyChange} from './usage_copy.js';
 
 const CHECK_EVERY_MS = 1000;
-/** Windows kept of one life; more only while the table is away for long. */
-const MOST_WINDOWS = 60;
+/**
+ * Windows kept per incarnation. More are unwritten only if the table is
+ * unavailable for a long time.
+ */
+const MAX_WINDOW_COUNT = 60;
 
 /** Options of {@link UsageCopies}. */
 export interface UsageCopiesOptions {
   readonly platform: Platform;
-  /** Whether that life of an instance is still there. */
+  /** Whether that incarnation of an instance is still a member. */
   readonly isPresent: (incarnation: Incarnation) => boolean;
 }
 
-/** The newest copies of each life of an instance. */
+/** Holds the newest copies of the counters of each incarnation. */
 export class UsageCopies {
   private readonly copies = new Map<Incarnation, Map<string, CounterValue>>();
   private timer: NodeJS.Timeout | undefined;
@@ -27,15 +33,21 @@
   constructor(private readonly options: UsageCopiesOptions) {}
 
   start(): void {
-    this.timer = setInterval(() => void this.writeOfTheDead(), CHECK_EVERY_MS);
+    this.timer = setInterval(
+      () => void this.writeDeadIncarnations(),
+      CHECK_EVERY_MS,
+    );
   }
 
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Takes in what has changed in the counters of one life. */
-  take(incarnation: Incarnation, changes: readonly UsageCopyChange[]): void {
+  /** Applies changes to the copies of the counters of one incarnation. */
+  mergeChanges(
+    incarnation: Incarnation,
+    changes: readonly UsageCopyChange[],
+  ): void {
     const copies = this.copies.get(incarnation) ?? new Map();
     this.copies.set(incarnation, copies);
     for (const change of changes) {
@@ -43,14 +55,14 @@
       if (value === undefined) copies.delete(change.key);
       else copies.set(change.key, value);
     }
-    forgetFormer(copies);
+    evictOldWindows(copies);
   }
 
   snapshot(): object {
     return {incarnations: [...this.copies.keys()]};
   }
 
-  private async writeOfTheDead(): Promise<void> {
+  private async writeDeadIncarnations(): Promise<void> {
     if (this.isWriting) return;
     this.isWriting = true;
     try {
@@ -74,7 +86,8 @@
     for (const [key, value] of copies) {
       const transaction = planCopyWrite(findRow(result.rows, key), value);
       if (transaction === undefined) continue;
-      // Whatever comes of it, the rows are read again before they are left.
+      // Whatever the result, the next check reads the rows again and drops the
+      // copies only if nothing is left to write.
       await this.options.platform.transact(transaction);
       isWritten = false;
     }
@@ -82,8 +95,10 @@
   }
 }
 
-/** Windows follow one another, and old ones have long been written. */
-function forgetFormer(copies: Map<string, CounterValue>): void {
+/**
+ * Evicts the oldest windows, which were written long ago. Keys sort by window.
+ */
+function evictOldWindows(copies: Map<string, CounterValue>): void {
   const keys = [...copies.keys()].sort();
-  for (const key of keys.slice(0, -MOST_WINDOWS)) copies.delete(key);
+  for (const key of keys.slice(0, -MAX_WINDOW_COUNT)) copies.delete(key);
 }
--- a/packages/entry/src/account/usage_copy.test.ts
+++ b/packages/entry/src/account/usage_copy.test.ts
@@ -30,8 +30,9 @@
 });
 
 test('a copy with a gap is not used', t => {
-  // A message to the keeper is lost with its connection. Written with the gap,
-  // the copy would take back what the table has and undercut the bill.
+  // Guards against writing an incomplete copy, which would lower the counts in
+  // the table and the bill. The gap arises when a message to the replica is
+  // lost with its connection.
   t.is(applyChange(FIRST, changeOf(SECOND, THIRD)), undefined);
   t.deepEqual(applyChange(undefined, changeOf(undefined, THIRD)), THIRD);
 });
--- a/packages/entry/src/account/usage_copy.ts
+++ b/packages/entry/src/account/usage_copy.ts
@@ -1,27 +1,31 @@
-/** Copies of usage counters on their way to the peer that keeps them. */
+/** Copies of usage counters, as sent to the peer that holds them. */
 
 import type {CounterValue} from '@snipestage/agreement/usage_rows.js';
 import type {UsageLine} from '@snipestage/types/platform_messages.js';
 
-/** Counters of one window as a peer keeps them. */
+/** Counters of one window, as held by a peer. */
 export interface UsageCopy {
   readonly key: string;
   readonly value: CounterValue;
 }
 
-/** What has changed in one window's counters since the last message. */
+/** Changes in one window's counters since the last message. */
 export interface UsageCopyChange {
   readonly key: string;
-  /** The sequence that the lines are added to; 0 brings all lines. */
+  /**
+   * Sequence of the value to which the lines apply; 0 if all lines are
+   * included.
+   */
   readonly afterSequence: number;
   readonly sequence: number;
-  /** Whole lines, not differences. */
+  /** Changed lines with their full counts, not differences. */
   readonly lines: readonly UsageLine[];
 }
 
 /**
- * What to send, given what was sent last. With hundreds of client accounts the
- * whole counters would be most of what an instance may send for control.
+ * Returns the changes since the values that were sent last. With hundreds of
+ * client accounts, full counters would take up most of the control traffic that
+ * an instance may send.
  *
  * @example
  * const changes = composeChanges(lastSent, copies);
@@ -41,9 +45,9 @@
 }
 
 /**
- * The keeper's value after a change; `undefined` when a message before it was
- * lost. Counters with a gap must not be written: they could take back figures
- * that the table already has.
+ * Returns the replica's value after a change; `undefined` if an earlier message
+ * was lost. Counters with a gap must not be written: they could replace counts
+ * in the table by lower ones.
  *
  * @example
  * const value = applyChange(known, change);
--- a/packages/entry/src/account/usage_counter_task.ts
+++ b/packages/entry/src/account/usage_counter_task.ts
@@ -1,4 +1,4 @@
-/** Counts what was served and keeps the table informed. */
+/** Counts served requests and writes the counters to the table. */
 
 import {
   areCountersWritten,
@@ -14,11 +14,16 @@
 import type {TableExecutor} from '../configure/table_executor.js';
 import {composeChanges, type UsageCopyChange} from './usage_copy.js';
 
-/** Figures younger than this are lost with their instance. */
-const COPY_AFTER_MS = 250;
-/** Sent whole so often, in case a message was lost. */
-const WHOLE_COPY_EVERY_MS = 5000;
-const LAST_WRITE_RETRY_MS = 200;
+/**
+ * Delay until counts are copied to a peer; younger counts are lost if the
+ * instance dies.
+ */
+const COPY_DELAY_MS = 250;
+/**
+ * All counters are sent in full at this interval, in case a message was lost.
+ */
+const FULL_COPY_INTERVAL_MS = 5000;
+const FINAL_WRITE_RETRY_MS = 200;
 
 /** Options of {@link UsageCounterTask}. */
 export interface UsageCounterTaskOptions {
@@ -27,25 +32,28 @@
   readonly windowMs: number;
   readonly writeEveryMs: number;
   readonly executor: TableExecutor;
-  /** The peer that keeps a copy; none when this instance is alone. */
-  readonly findKeeper: () => InstanceId | undefined;
+  /**
+   * Finds the peer that holds a copy; `undefined` if this is the only instance.
+   */
+  readonly findReplica: () => InstanceId | undefined;
   readonly sendCopies: (
-    keeper: InstanceId,
+    replica: InstanceId,
     changes: readonly UsageCopyChange[],
   ) => void;
   readonly nowEpochMs?: () => number;
 }
 
 /**
- * Figures are written every few seconds. If the instance dies in between, what
- * it served since then would never be billed, so a peer has a copy.
+ * Writes the counters to the table every few seconds. If the instance died in
+ * between, the requests served since the last write would never be billed;
+ * therefore a peer holds a copy.
  */
 export class UsageCounterTask {
   private state: CountersState;
   private flushTimer: NodeJS.Timeout | undefined;
   private copyTimer: NodeJS.Timeout | undefined;
-  private wholeTimer: NodeJS.Timeout | undefined;
-  private keeper: InstanceId | undefined;
+  private fullCopyTimer: NodeJS.Timeout | undefined;
+  private replica: InstanceId | undefined;
   private readonly lastSent = new Map<string, CounterValue>();
 
   constructor(private readonly options: UsageCounterTaskOptions) {
@@ -55,10 +63,10 @@
   start(): void {
     const {writeEveryMs} = this.options;
     this.flushTimer = setInterval(() => void this.flush(), writeEveryMs);
-    this.wholeTimer = setInterval(() => {
+    this.fullCopyTimer = setInterval(() => {
       this.lastSent.clear();
       this.copy();
-    }, WHOLE_COPY_EVERY_MS);
+    }, FULL_COPY_INTERVAL_MS);
   }
 
   /** Counts a served request in the window of its end. */
@@ -69,26 +77,26 @@
       line,
       nowEpochMs,
     }).state;
-    this.copyTimer ??= setTimeout(() => this.copy(), COPY_AFTER_MS);
+    this.copyTimer ??= setTimeout(() => this.copy(), COPY_DELAY_MS);
   }
 
   /**
-   * Writes the last figures. While the table can't be written it gives up after
-   * the time allowed; the peer's copy is then written by the peer.
+   * Writes the remaining counts. Gives up after `maxWaitMs` if the table can't
+   * be written; the peer then writes its copy.
    */
-  async stop(patienceMs: number): Promise<void> {
+  async stop(maxWaitMs: number): Promise<void> {
     clearInterval(this.flushTimer);
-    clearInterval(this.wholeTimer);
+    clearInterval(this.fullCopyTimer);
     this.copy();
-    const deadlineMs = performance.now() + patienceMs;
+    const deadlineMs = performance.now() + maxWaitMs;
     while (!areCountersWritten(this.state) && performance.now() < deadlineMs) {
       await this.flush();
       if (areCountersWritten(this.state)) return;
-      await new Promise(resolve => setTimeout(resolve, LAST_WRITE_RETRY_MS));
+      await new Promise(resolve => setTimeout(resolve, FINAL_WRITE_RETRY_MS));
     }
   }
 
-  /** Windows not yet written whole, and the newest one. */
+  /** The windows that are not fully written yet, and the newest one. */
   snapshot(): object {
     return {
       windows: this.state.windows.map(({window, value, writtenSequence}) => ({
@@ -106,15 +114,15 @@
   private copy(): void {
     clearTimeout(this.copyTimer);
     this.copyTimer = undefined;
-    const keeper = this.options.findKeeper();
-    if (keeper !== this.keeper) this.lastSent.clear();
-    this.keeper = keeper;
-    if (keeper === undefined) return;
+    const replica = this.options.findReplica();
+    if (replica !== this.replica) this.lastSent.clear();
+    this.replica = replica;
+    if (replica === undefined) return;
     const copies = listCopies(this.state);
     const changes = composeChanges(this.lastSent, copies);
     this.lastSent.clear();
     for (const {key, value} of copies) this.lastSent.set(key, value);
-    if (changes.length > 0) this.options.sendCopies(keeper, changes);
+    if (changes.length > 0) this.options.sendCopies(replica, changes);
   }
 
   private async handle(event: CountersEvent): Promise<void> {
--- a/packages/entry/src/account/usage_report_task.ts
+++ b/packages/entry/src/account/usage_report_task.ts
@@ -29,7 +29,7 @@
   readonly nowEpochMs?: () => number;
 }
 
-/** Carries out what the protocol of usage windows returns. */
+/** Carries out the effects of the usage reporting protocol. */
 export class UsageReportTask {
   private state: ReporterState;
   private timer: NodeJS.Timeout | undefined;
--- a/packages/entry/src/agree/lease_task.ts
+++ b/packages/entry/src/agree/lease_task.ts
@@ -1,4 +1,4 @@
-/** Holds one lease, or waits to. */
+/** Acquires, renews and releases one lease. */
 
 import {
   beginLease,
@@ -18,7 +18,7 @@
 
 const TICKS_PER_RENEWAL = 5;
 
-/** Is told when a term begins and when it ends. */
+/** Notified when a term begins and when it ends. */
 export interface LeaseListener {
   acquired(held: HeldLease): void;
   lost(): void;
@@ -30,11 +30,17 @@
   readonly executor: TableExecutor;
   readonly clock: MonotonicClock;
   readonly logger: Logger;
-  /** Only a few instances of a data centre stand for a lease. */
+  /**
+   * Whether this instance may try to acquire the lease; only a few instances
+   * do.
+   */
   readonly isCandidate: () => boolean;
 }
 
-/** Owns the lease's state; everything done in its name asks it for a guard. */
+/**
+ * Owns the lease's state. Everything sent under the lease needs a guard from
+ * {@link LeaseTask.guard}.
+ */
 export class LeaseTask {
   private state: LeaseState;
   private timer: NodeJS.Timeout | undefined;
@@ -60,7 +66,10 @@
     return leaseInForce(this.state, this.options.clock());
   }
 
-  /** Lets sends happen only within the term that is in force now. */
+  /**
+   * Returns a guard that allows sends only within the term that is in force
+   * now.
+   */
   guard(): SendGuard {
     const token = this.held?.fencingToken;
     return {
@@ -75,7 +84,7 @@
     this.timer = setInterval(() => this.tick(), everyMs);
   }
 
-  /** Gives the lease up, so that a successor need not wait for its end. */
+  /** Releases the lease, so that a successor needn't wait for it to expire. */
   async retire(): Promise<void> {
     clearInterval(this.timer);
     this.isRetiring = true;
@@ -96,8 +105,8 @@
 
   private tick(): void {
     if (this.isRetiring) return;
-    // One that is no candidate any more keeps what it has and renews it; it
-    // only does not challenge.
+    // An instance that is no longer a candidate goes on renewing a lease that
+    // it holds, but doesn't try to acquire one.
     if (this.state.held === undefined && !this.options.isCandidate()) return;
     void this.handle({kind: 'tick', nowMs: this.options.clock()});
   }
@@ -142,9 +151,10 @@
   }
 
   /**
-   * Bytes handed to a connection may still lie in the kernel when the term
-   * ends. The connection is reset then, or an order could arrive after the
-   * successor's.
+   * Sends the protocol a tick right after the term's end, so that the term's
+   * signal aborts if the lease wasn't renewed. Bytes written to a connection
+   * may still be in the kernel's buffer then; unless the connection is reset,
+   * an order could arrive after the successor's.
    */
   private watchTerm(held: HeldLease): void {
     clearTimeout(this.termTimer);
--- a/packages/entry/src/agree/order_task.ts
+++ b/packages/entry/src/agree/order_task.ts
@@ -1,4 +1,4 @@
-/** Gives the orders of one data centre while its lease is held. */
+/** Sends the orders of one data centre while its lease is held. */
 
 import {beginOrders, transitionOrders} from '@snipestage/agreement/orders.js';
 import type {
@@ -25,7 +25,7 @@
   readonly logger: Logger;
 }
 
-/** Carries out what the protocol of orders returns. */
+/** Carries out the effects of the order protocol. */
 export class OrderTask {
   private state: OrdersState;
 
@@ -37,8 +37,11 @@
     });
   }
 
-  /** All that should be so; orders go out for what is not. */
-  want(contents: readonly OrderContent[]): void {
+  /**
+   * Sets the complete desired state. Orders are sent for whatever differs from
+   * it.
+   */
+  setDesired(contents: readonly OrderContent[]): void {
     this.handle({kind: 'desired', contents});
   }
 
--- a/packages/entry/src/choose/acquire_permit.ts
+++ b/packages/entry/src/choose/acquire_permit.ts
@@ -1,13 +1,13 @@
-/** Asks for a permit on behalf of a request that may have had attempts. */
+/** Acquires a permit for a request that may have had earlier attempts. */
 
 import {RequestError} from '@snipestage/errors/request_error.js';
 import {worseVerdict, type Verdict} from '@snipestage/types/verdict.js';
 import type {Permit, PermitRequest, Permits} from './permits.js';
 
 /**
- * A refusal speaks only of the attempt it refuses. One that says "not run"
- * after an earlier attempt may have run would be untrue, so it takes on the
- * verdict of the whole request.
+ * Acquires a permit. The verdict of a refusal covers only the refused attempt:
+ * `not_run` would be wrong if an earlier attempt may have run, so the verdict
+ * is widened to the whole request.
  *
  * @throws RequestError with the verdict over all attempts.
  * @example
@@ -29,7 +29,7 @@
 }
 
 /**
- * The same refusal, with the worse of its verdict and the one given.
+ * Returns the same refusal with the worse of its verdict and the given one.
  *
  * @example
  * throw withVerdict(error, 'may_have_run');
--- a/packages/entry/src/choose/cell_clients.ts
+++ b/packages/entry/src/choose/cell_clients.ts
@@ -1,4 +1,4 @@
-/** This instance's side of the cells that it sends requests to. */
+/** This instance's permit clients for the cells that it sends requests to. */
 
 import type {CellOutput} from '@snipestage/policy/cell_messages.js';
 import type {CellLoad} from '@snipestage/policy/cell_choice.js';
@@ -21,13 +21,13 @@
 import type {CellMap} from './cell_map.js';
 import type {PermitRouter} from './permit_router.js';
 
-/** How an ask ended. */
-export type AskResult =
+/** Result of a permit request. */
+export type PermitResult =
   | {readonly kind: 'start'; readonly endpoint: EndpointId}
   | {readonly kind: 'refused'; readonly refusal: PermitRefusal};
 
-/** Told once, unless the ask is withdrawn. */
-export type AskListener = (result: AskResult) => void;
+/** Called once with the result, unless the request is withdrawn. */
+export type PermitListener = (result: PermitResult) => void;
 
 /** Options of {@link CellClients}. */
 export interface CellClientsOptions {
@@ -47,55 +47,57 @@
   owner: InstanceId | null;
 }
 
-/** One permit client a cell, created when first needed. */
+/** Holds one permit client per cell, created on first use. */
 export class CellClients {
   private readonly cells = new Map<CellId, ClientCell>();
-  private readonly listeners = new Map<AttemptId, AskListener>();
+  private readonly listeners = new Map<AttemptId, PermitListener>();
   private map: CellMap | undefined;
   private classes: readonly RequestClass[] = [];
 
   constructor(private readonly options: CellClientsOptions) {}
 
-  /** Takes in a new map. */
+  /** Applies a new map of cells and new request classes. */
   configure(map: CellMap, classes: readonly RequestClass[]): void {
     this.map = map;
     this.classes = classes;
     for (const id of this.cells.keys()) this.configureCell(id);
   }
 
-  ask(ask: PermitAsk, listener: AskListener): void {
-    const {client} = this.cellOf(ask.cell);
+  ask(ask: PermitAsk, listener: PermitListener): void {
+    const {client} = this.getOrCreateCell(ask.cell);
     this.listeners.set(ask.attempt, listener);
     this.carryOut(ask.cell, client.request(ask, this.options.clock()));
   }
 
-  /** What a request that goes to the cell now has to expect. */
+  /** Returns the load that a new request to the cell would meet. */
   load(cell: CellId): CellLoad {
-    return this.cellOf(cell).client.load(this.options.clock());
+    return this.getOrCreateCell(cell).client.load(this.options.clock());
   }
 
   withdraw(cell: CellId, attempt: AttemptId): void {
     this.listeners.delete(attempt);
-    const {client} = this.cellOf(cell);
+    const {client} = this.getOrCreateCell(cell);
     this.carryOut(cell, client.withdraw(attempt, this.options.clock()));
   }
 
   progress(cell: CellId, attempt: AttemptId, outputTokens: number): void {
-    this.cellOf(cell).progress.set(attempt, outputTokens);
+    this.getOrCreateCell(cell).progress.set(attempt, outputTokens);
   }
 
   release(release: PermitRelease): void {
-    const {client, progress} = this.cellOf(release.cell);
+    const {client, progress} = this.getOrCreateCell(release.cell);
     progress.delete(release.attempt);
     this.carryOut(release.cell, client.release(release, this.options.clock()));
   }
 
   receive(cell: CellId, output: CellOutput, from: InstanceId): void {
-    const {client} = this.cellOf(cell);
+    const {client} = this.getOrCreateCell(cell);
     this.carryOut(cell, client.receive(output, from, this.options.clock()));
   }
 
-  /** Tells tokens in batches, so that a token costs no message. */
+  /**
+   * Sends token counts in batches, so that no token costs a message of its own.
+   */
   tick(): void {
     const nowMs = this.options.clock();
     for (const [id, cell] of this.cells) {
@@ -117,7 +119,7 @@
     return [...this.cells.values()].map(({client}) => client.snapshot(nowMs));
   }
 
-  private cellOf(id: CellId): ClientCell {
+  private getOrCreateCell(id: CellId): ClientCell {
     const known = this.cells.get(id);
     if (known !== undefined) return known;
     const {self, policy, maxWaiting} = this.options;
@@ -184,13 +186,13 @@
           });
           break;
         case 'start':
-          this.tell(output.attempt, {
+          this.notifyListener(output.attempt, {
             kind: 'start',
             endpoint: output.endpoint,
           });
           break;
         case 'refused':
-          this.tell(output.attempt, {
+          this.notifyListener(output.attempt, {
             kind: 'refused',
             refusal: output.refusal,
           });
@@ -199,7 +201,7 @@
     }
   }
 
-  private tell(attempt: AttemptId, result: AskResult): void {
+  private notifyListener(attempt: AttemptId, result: PermitResult): void {
     const listener = this.listeners.get(attempt);
     this.listeners.delete(attempt);
     listener?.(result);
--- a/packages/entry/src/choose/cell_map.ts
+++ b/packages/entry/src/choose/cell_map.ts
@@ -1,4 +1,4 @@
-/** All cells, from the configuration and the live instances. */
+/** All cells, planned from the configuration, the endpoints and the members. */
 
 import {planCells, type Cell} from '@snipestage/policy/cells.js';
 import type {CellEndpoint} from '@snipestage/policy/cell_messages.js';
@@ -11,17 +11,20 @@
 import type {Member} from '@snipestage/types/member.js';
 import {instancesIn} from './cluster_view.js';
 
-/** What a {@link CellMap} is made from. */
+/** Options of {@link CellMap}. */
 export interface CellMapOptions {
   readonly configuration: Configuration;
-  /** Configured ones and those that the platform runs. */
+  /** Configured endpoints and those that the platform runs. */
   readonly endpoints: ReadonlyMap<string, Endpoint>;
   readonly members: readonly Member[];
   readonly dataCentre: DataCentreId;
   readonly endpointsPerCell?: number;
 }
 
-/** Made anew whenever the configuration or the members change. */
+/**
+ * Immutable; replaced whenever the configuration, the endpoints or the members
+ * change.
+ */
 export class CellMap {
   private readonly cells = new Map<CellId, Cell>();
 
@@ -41,7 +44,10 @@
     return this.cells.get(cell);
   }
 
-  /** Cells that serve a target, by data centre; the own one comes first. */
+  /**
+   * Returns the cells that serve a target, grouped by data centre: the own one
+   * first, then those of the same region, then all others.
+   */
   serving(target: EndpointTarget): Cell[][] {
     const byDataCentre = new Map<DataCentreId, Cell[]>();
     for (const cell of this.cells.values()) {
@@ -58,7 +64,9 @@
     return [...this.cells.values()].filter(cell => cell.owner === instance);
   }
 
-  /** The cell's endpoints as its owner is to know them. */
+  /**
+   * Returns the cell's endpoints in the form used by its owner and its clients.
+   */
   endpointsOf(cell: Cell): CellEndpoint[] {
     return cell.endpoints
       .map(id => this.options.endpoints.get(id))
@@ -71,7 +79,7 @@
       }));
   }
 
-  /** The own one, then those of the same region, then all others. */
+  /** The own data centre, then those of the same region, then all others. */
   private dataCentres(): DataCentreId[] {
     const {configuration, dataCentre: own} = this.options;
     const ownRegion = configuration.dataCentres.get(own)?.region;
@@ -86,8 +94,9 @@
   }
 
   /**
-   * A data centre whose entry instances are all gone still has endpoints; the
-   * instances of the others look after its cells then.
+   * Plans the cells of a data centre. A data centre without live entry
+   * instances still has endpoints; its cells are then assigned to the live
+   * instances of the others.
    */
   private planDataCentre(dataCentre: DataCentreId): Cell[] {
     const {endpoints, members, endpointsPerCell} = this.options;
--- a/packages/entry/src/choose/cell_owners.ts
+++ b/packages/entry/src/choose/cell_owners.ts
@@ -1,4 +1,4 @@
-/** The cells that this instance owns. */
+/** Owners of the cells that are assigned to this instance. */
 
 import type {
   CellInput,
@@ -26,8 +26,8 @@
   readonly maxWaiting?: number;
 }
 
-/** A longer time between two ticks means that the process stood still. */
-const LONGEST_PAUSE_MS = 1000;
+/** A longer gap between two ticks means that the process was suspended. */
+const MAX_TICK_GAP_MS = 1000;
 
 interface OwnersConfiguration {
   readonly map: CellMap;
@@ -40,7 +40,7 @@
   readonly instances: Set<InstanceId>;
 }
 
-/** Creates an owner for each cell that falls to this instance. */
+/** Creates an owner for each cell that is assigned to this instance. */
 export class CellOwners {
   private readonly owned = new Map<CellId, OwnedCell>();
   private configuration: OwnersConfiguration | undefined;
@@ -52,7 +52,7 @@
     return this.owned.size;
   }
 
-  /** Takes in a new map: cells come and go, so do their instances. */
+  /** Applies a new map: adds and removes owned cells and their instances. */
   configure(
     map: CellMap,
     classes: readonly RequestClass[],
@@ -66,26 +66,26 @@
     }
     for (const cell of cells) {
       const owned = this.owned.get(cell.id) ?? this.create(cell.id);
-      this.feed(cell.id, owned, {kind: 'classes', classes});
+      this.deliver(cell.id, owned, {kind: 'classes', classes});
       const endpoints = map.endpointsOf(cell);
-      this.feed(cell.id, owned, {kind: 'endpoints', endpoints});
+      this.deliver(cell.id, owned, {kind: 'endpoints', endpoints});
       this.updateInstances(cell, owned, present);
     }
   }
 
   receive(cell: CellId, input: CellInput, from: InstanceId): void {
     const owned = this.owned.get(cell);
-    // Meant for an owner that is no more; the client asks the new one.
+    // This instance isn't the owner any more; the client asks the new one.
     if (owned === undefined) return;
     if (!owned.instances.has(from)) this.join(cell, owned, from);
-    this.feed(cell, owned, input);
+    this.deliver(cell, owned, input);
   }
 
   tick(): void {
     const nowMs = this.options.clock();
     const gapMs = nowMs - this.tickedAtMs;
     this.tickedAtMs = nowMs;
-    if (gapMs > LONGEST_PAUSE_MS) this.startAnew();
+    if (gapMs > MAX_TICK_GAP_MS) this.recreateOwners();
     for (const [cell, {owner}] of this.owned) {
       this.sendAll(cell, owner.tick(this.options.clock()));
     }
@@ -93,7 +93,7 @@
 
   reportLoad(cell: CellId, load: ReportedLoad): void {
     const owned = this.owned.get(cell);
-    if (owned !== undefined) this.feed(cell, owned, {kind: 'load', load});
+    if (owned !== undefined) this.deliver(cell, owned, {kind: 'load', load});
   }
 
   snapshot(): CellSnapshot[] {
@@ -102,11 +102,12 @@
   }
 
   /**
-   * A process that was frozen comes back with queues long served elsewhere and
-   * with times that measure its own pause: it would refuse what could well be
-   * served. Its owners begin anew, as those of another instance would.
+   * Replaces all owners after the process was suspended. Their queues have long
+   * been served elsewhere and their times include the suspension, so they would
+   * refuse requests that could be served. The new owners start as empty as
+   * those of another instance would.
    */
-  private startAnew(): void {
+  private recreateOwners(): void {
     this.owned.clear();
     if (this.configuration === undefined) return;
     const {map, classes, present} = this.configuration;
@@ -127,7 +128,11 @@
     return owned;
   }
 
-  /** Instances of other data centres have joined by asking; they stay. */
+  /**
+   * Adds the cell's instances and removes those that are no longer present.
+   * Instances of other data centres, which joined with their first message,
+   * stay while they are present.
+   */
   private updateInstances(
     cell: Cell,
     owned: OwnedCell,
@@ -139,16 +144,16 @@
     for (const instance of owned.instances) {
       if (present.has(instance)) continue;
       owned.instances.delete(instance);
-      this.feed(cell.id, owned, {kind: 'instance_gone', instance});
+      this.deliver(cell.id, owned, {kind: 'instance_gone', instance});
     }
   }
 
   private join(cell: CellId, owned: OwnedCell, instance: InstanceId): void {
     owned.instances.add(instance);
-    this.feed(cell, owned, {kind: 'instance_joined', instance});
+    this.deliver(cell, owned, {kind: 'instance_joined', instance});
   }
 
-  private feed(cell: CellId, owned: OwnedCell, input: CellInput): void {
+  private deliver(cell: CellId, owned: OwnedCell, input: CellInput): void {
     this.sendAll(cell, owned.owner.receive(input, this.options.clock()));
   }
 
--- a/packages/entry/src/choose/cell_permits.ts
+++ b/packages/entry/src/choose/cell_permits.ts
@@ -1,4 +1,4 @@
-/** Permits from the owners of cells, own data centre first. */
+/** Acquires permits from cell owners, in the own data centre first. */
 
 import {RequestError} from '@snipestage/errors/request_error.js';
 import {chooseCell} from '@snipestage/policy/cell_choice.js';
@@ -21,7 +21,7 @@
 import {CellMap} from './cell_map.js';
 import {CellOwners} from './cell_owners.js';
 import type {ClusterView} from './cluster_view.js';
-import {PermitSearch, type SearchedCell} from './permit_search.js';
+import {PermitSearch, type CandidateCell} from './permit_search.js';
 import type {PermitRecord, PermitRouter} from './permit_router.js';
 import {
   Permits,
@@ -49,7 +49,7 @@
 const IDLE_AFTER_MS = 1000;
 const IDLE_TICK_FACTOR = 5;
 
-/** Keeps the map of cells up to date and finds each request its permit. */
+/** Keeps the map of cells up to date and acquires permits for requests. */
 export class CellPermits extends Permits {
   private map: CellMap;
   private timer: NodeJS.Timeout | undefined;
@@ -77,8 +77,9 @@
   }
 
   /**
-   * Waking a process twenty times a second is most of what an idle instance
-   * spends, so the tick is slower while nothing happens.
+   * Schedules the next tick. Waking up twenty times a second accounts for most
+   * of the CPU time of an idle instance, so ticks are less frequent while it is
+   * idle.
    */
   private schedule(): void {
     clearTimeout(this.timer);
@@ -95,14 +96,14 @@
     this.schedule();
   }
 
-  private noteActivity(): void {
+  private markActive(): void {
     this.activeAtMs = this.options.clock();
     if (this.isIdle) this.schedule();
   }
 
-  /** Takes in a record from a peer. */
+  /** Handles a record from a peer or from this instance. */
   receive(from: InstanceId, record: PermitRecord): void {
-    this.noteActivity();
+    this.markActive();
     const {owners, clients} = this.options;
     if (record.kind === 'to_owner') {
       owners.receive(record.cell, record.input, from);
@@ -116,18 +117,20 @@
   }
 
   async acquire(request: PermitRequest, signal: AbortSignal): Promise<Permit> {
-    this.noteActivity();
+    this.markActive();
     const groups = this.map.serving(request.target);
     if (groups.length === 0) throw noEndpoint();
     const search = new PermitSearch({
       clients: this.options.clients,
       clock: this.options.clock,
-      cells: groups.map((cells, rank) => this.pick(cells, request, rank)),
+      cells: groups.map((cells, rank) =>
+        this.chooseCandidate(cells, request, rank),
+      ),
       spillAfterMs: request.requestClass.firstTokenTargetMs,
     });
     const result = await search.run(signal);
     if (result.kind === 'refused') throw refusalError(result.refusal);
-    return this.hold(request, result.found);
+    return this.createPermit(request, result.found);
   }
 
   snapshot(): object {
@@ -137,12 +140,12 @@
     };
   }
 
-  private pick(
+  private chooseCandidate(
     cells: readonly Cell[],
     request: PermitRequest,
     rank: number,
-  ): SearchedCell {
-    const cell = rank === 0 ? this.pickNear(cells, request) : undefined;
+  ): CandidateCell {
+    const cell = rank === 0 ? this.chooseLocalCell(cells, request) : undefined;
     const key = request.prefixHash ?? request.attempt;
     const ids = cells.map(({id}) => id);
     const chosen = cell ?? rankByRendezvous(key, ids)[0];
@@ -152,8 +155,8 @@
     return {cell: chosen, ask: this.composeAsk(request, attempt, chosen)};
   }
 
-  /** By expected wait, among the cells that this instance works with. */
-  private pickNear(
+  /** Chooses by expected wait among the cells that include this instance. */
+  private chooseLocalCell(
     cells: readonly Cell[],
     request: PermitRequest,
   ): CellId | undefined {
@@ -189,9 +192,9 @@
     };
   }
 
-  private hold(
+  private createPermit(
     request: PermitRequest,
-    {cell, ask, endpointId}: SearchedCell & {readonly endpointId: EndpointId},
+    {cell, ask, endpointId}: CandidateCell & {readonly endpointId: EndpointId},
   ): Permit {
     const {clients, directory} = this.options;
     const {attempt} = ask;
@@ -208,7 +211,7 @@
       });
     const endpoint = directory.endpoints.get(endpointId);
     if (endpoint === undefined) {
-      // Removed by a ticket between the grant and now.
+      // The endpoint was removed after the grant, for example by a ticket.
       release({outcome: 'cancelled'});
       throw noEndpoint();
     }
@@ -216,7 +219,7 @@
       endpoint,
       release,
       progress: tokens => {
-        this.noteActivity();
+        this.markActive();
         clients.progress(cell, attempt, tokens);
       },
     };
--- a/packages/entry/src/choose/cluster_view.ts
+++ b/packages/entry/src/choose/cluster_view.ts
@@ -1,26 +1,28 @@
-/** Which entry instances are there, as this one knows. */
+/** The entry instances that this instance knows of. */
 
 import type {DataCentreId, InstanceId} from '@snipestage/types/ids.js';
 import type {Member} from '@snipestage/types/member.js';
 
-/** Told after each change. */
+/** Called after each change of the membership. */
 export type ClusterListener = () => void;
 
-/** Membership as the choice of cells needs it. */
+/** Membership, as needed to plan and choose cells. */
 export abstract class ClusterView {
   abstract get self(): Member;
 
-  /** Members that take on work, this instance among them. */
+  /**
+   * Members that accept new work, including this instance unless it is leaving.
+   */
   abstract live(): readonly Member[];
 
-  /** These and the leaving ones, whose requests still run. */
+  /** Live members and leaving ones, whose requests may still run. */
   abstract present(): readonly Member[];
 
   abstract onChange(listener: ClusterListener): void;
 }
 
-/** An instance that knows of no other. */
-export class AloneView extends ClusterView {
+/** View of an instance that is the only member. */
+export class SingleInstanceView extends ClusterView {
   constructor(readonly self: Member) {
     super();
   }
@@ -37,7 +39,7 @@
 }
 
 /**
- * Ids of the members in a data centre.
+ * Returns the ids of the members in a data centre.
  *
  * @example
  * const instances = instancesIn(view.live(), dataCentre);
--- a/packages/entry/src/choose/metered_permits.ts
+++ b/packages/entry/src/choose/metered_permits.ts
@@ -1,4 +1,4 @@
-/** Measures waits and attempts as permits are given and come back. */
+/** Measures waits and attempts as permits are granted and released. */
 
 import type {Metrics} from '@snipestage/log/metrics.js';
 import type {RequestClass} from '@snipestage/types/configuration.js';
@@ -17,7 +17,7 @@
   readonly clock: MonotonicClock;
 }
 
-/** Passes everything on. */
+/** Delegates to other permits and sends metrics. */
 export class MeteredPermits extends Permits {
   constructor(private readonly options: MeteredPermitsOptions) {
     super();
@@ -26,9 +26,9 @@
   async acquire(request: PermitRequest, signal: AbortSignal): Promise<Permit> {
     const {permits, metrics, clock} = this.options;
     const {requestClass} = request;
-    const askedAtMs = clock();
+    const requestedAtMs = clock();
     const permit = await permits.acquire(request, signal);
-    const waitMs = clock() - askedAtMs;
+    const waitMs = clock() - requestedAtMs;
     metrics.timing('queue_wait_ms', waitMs, {class: requestClass.id});
     return {
       endpoint: permit.endpoint,
--- a/packages/entry/src/choose/permit_router.ts
+++ b/packages/entry/src/choose/permit_router.ts
@@ -1,9 +1,9 @@
-/** Carries records between permit clients and owners of cells. */
+/** Routes records between permit clients and cell owners. */
 
 import type {CellInput, CellOutput} from '@snipestage/policy/cell_messages.js';
 import type {CellId, InstanceId} from '@snipestage/types/ids.js';
 
-/** A record on its way. */
+/** A message between a permit client and the owner of a cell. */
 export type PermitRecord =
   | {
       readonly kind: 'to_owner';
@@ -16,10 +16,10 @@
       readonly output: CellOutput;
     };
 
-/** Takes records for other instances; they may be lost. */
+/** Sends a record to another instance; it may be lost. */
 export type RemoteSender = (to: InstanceId, record: PermitRecord) => void;
 
-/** Takes records for this instance. */
+/** Handles records addressed to this instance. */
 export type LocalReceiver = (from: InstanceId, record: PermitRecord) => void;
 
 /** Options of {@link PermitRouter}. */
@@ -29,8 +29,9 @@
 }
 
 /**
- * Local records are worked off one after the other: an owner that answers a
- * client within the client's own call would change it under its feet.
+ * Routes each record to its instance. Local records are queued and handled one
+ * at a time: an owner that answered a client within the client's own call would
+ * change the client's state during that call.
  */
 export class PermitRouter {
   private readonly queue: PermitRecord[] = [];
--- a/packages/entry/src/choose/permit_search.ts
+++ b/packages/entry/src/choose/permit_search.ts
@@ -1,13 +1,13 @@
-/** Looks for a permit in one data centre after the other. */
+/** Searches for a permit in one data centre after the other. */
 
 import {RequestError} from '@snipestage/errors/request_error.js';
 import type {CellId, EndpointId} from '@snipestage/types/ids.js';
 import type {PermitAsk, PermitRefusal} from '@snipestage/types/permits.js';
 import type {MonotonicClock} from '../clock.js';
-import type {AskResult, CellClients} from './cell_clients.js';
+import type {CellClients, PermitResult} from './cell_clients.js';
 
-/** A cell and what it would be asked. */
-export interface SearchedCell {
+/** A cell and the permit request for it. */
+export interface CandidateCell {
   readonly cell: CellId;
   readonly ask: PermitAsk;
 }
@@ -15,7 +15,7 @@
 export type SearchResult =
   | {
       readonly kind: 'found';
-      readonly found: SearchedCell & {readonly endpointId: EndpointId};
+      readonly found: CandidateCell & {readonly endpointId: EndpointId};
     }
   | {readonly kind: 'refused'; readonly refusal: PermitRefusal};
 
@@ -23,21 +23,22 @@
 export interface PermitSearchOptions {
   readonly clients: CellClients;
   readonly clock: MonotonicClock;
-  /** One a data centre, nearest first; not empty. */
-  readonly cells: readonly SearchedCell[];
-  /** How long it waits in one before it also asks the next. */
+  /** One per data centre, nearest first; not empty. */
+  readonly cells: readonly CandidateCell[];
+  /** How long a request waits in one cell before the next is asked too. */
   readonly spillAfterMs: number;
 }
 
 /**
- * Waits in the nearest cell; while it waits there for long, or as soon as it is
- * refused there, the next data centre is asked too. The first permit counts and
- * the other asks are withdrawn. Refused only when all have refused: a request
- * must not be turned away while another data centre is idle.
+ * Waits in the nearest cell. After `spillAfterMs`, or as soon as that cell
+ * refuses, the next data centre's cell is asked too, and so on. The first
+ * permit wins and the other requests are withdrawn. The search is refused only
+ * when all cells have refused: a request must not be refused while another data
+ * centre is idle.
  */
 export class PermitSearch {
   private readonly startedAtMs: number;
-  private readonly open = new Set<SearchedCell>();
+  private readonly open = new Set<CandidateCell>();
   private next = 0;
   private lastRefusal: PermitRefusal | undefined;
   private timer: NodeJS.Timeout | undefined;
@@ -64,7 +65,7 @@
           return;
         }
         signal.addEventListener('abort', onAbort, {once: true});
-        this.askNext();
+        this.requestNext();
       });
     } finally {
       signal.removeEventListener('abort', onAbort);
@@ -73,35 +74,35 @@
     }
   }
 
-  private askNext(): void {
+  private requestNext(): void {
     clearTimeout(this.timer);
     const {cells, clients, clock, spillAfterMs} = this.options;
     if (this.next >= cells.length) {
       this.refuseIfNoneIsOpen();
       return;
     }
-    const searched = cells[this.next];
+    const candidate = cells[this.next];
     this.next += 1;
-    this.open.add(searched);
+    this.open.add(candidate);
     const elapsedMs = clock() - this.startedAtMs;
-    const remainingMs = Math.max(0, searched.ask.remainingMs - elapsedMs);
+    const remainingMs = Math.max(0, candidate.ask.remainingMs - elapsedMs);
     if (this.next < cells.length) {
-      this.timer = setTimeout(() => this.askNext(), spillAfterMs);
+      this.timer = setTimeout(() => this.requestNext(), spillAfterMs);
     }
-    clients.ask({...searched.ask, remainingMs}, result =>
-      this.take(searched, result),
+    clients.ask({...candidate.ask, remainingMs}, result =>
+      this.handleResult(candidate, result),
     );
   }
 
-  private take(searched: SearchedCell, result: AskResult): void {
-    this.open.delete(searched);
+  private handleResult(candidate: CandidateCell, result: PermitResult): void {
+    this.open.delete(candidate);
     if (result.kind === 'start') {
-      const found = {...searched, endpointId: result.endpoint};
+      const found = {...candidate, endpointId: result.endpoint};
       this.settle({kind: 'found', found});
       return;
     }
-    this.lastRefusal = sooner(this.lastRefusal, result.refusal);
-    this.askNext();
+    this.lastRefusal = earlierRetry(this.lastRefusal, result.refusal);
+    this.requestNext();
   }
 
   private refuseIfNoneIsOpen(): void {
@@ -117,8 +118,11 @@
   }
 }
 
-/** The caller is to come back when the first of them may have room. */
-function sooner(
+/**
+ * Returns the refusal with the shorter retry delay: the caller should come back
+ * as soon as any of the cells may have room.
+ */
+function earlierRetry(
   left: PermitRefusal | undefined,
   right: PermitRefusal,
 ): PermitRefusal {
--- a/packages/entry/src/choose/permits.ts
+++ b/packages/entry/src/choose/permits.ts
@@ -1,4 +1,4 @@
-/** Leave to run an attempt at an endpoint. */
+/** Permits to run attempts at endpoints. */
 
 import type {AttemptLimit} from '@snipestage/policy/stop_admission.js';
 import type {
@@ -14,32 +14,40 @@
 } from '@snipestage/types/ids.js';
 import type {AttemptOutcome} from '@snipestage/types/permits.js';
 
-/** What an attempt needs leave for. */
+/** Request for a permit to run one attempt. */
 export interface PermitRequest {
   readonly attempt: AttemptId;
   readonly target: EndpointTarget;
   readonly clientAccount: ClientAccount;
   readonly requestClass: RequestClass;
   readonly expectedTokens: number;
-  /** Time left until starting it is worthless. */
+  /** Time within which a start is still useful. */
   readonly remainingMs: number;
-  /** When the request has ended at the latest, by a monotonic clock. */
+  /** Latest end of the request: a time of the monotonic clock, or a timeout. */
   readonly limit: AttemptLimit;
-  /** Whether an earlier attempt of it may have run; false if absent. */
+  /**
+   * Whether an earlier attempt of the request may have run; false if absent.
+   */
   readonly mayHaveRun?: boolean;
   readonly prefixHash?: string;
   readonly fingerprint: Fingerprint;
-  /** It was in flight at a crash and must run alone; false if absent. */
+  /**
+   * Whether the request was in flight at a crash and must run alone; false if
+   * absent.
+   */
   readonly suspect?: boolean;
-  /** Whether a repetition does no harm. */
+  /** Whether the request can safely run more than once. */
   readonly repeatable: boolean;
   readonly excluded: readonly EndpointId[];
 }
 
-/** What was measured of an attempt when it ended. */
+/** Measurements of an attempt that has ended. */
 export interface AttemptReport {
   readonly outcome: AttemptOutcome;
-  /** The connection ended in the middle, as when the endpoint crashes. */
+  /**
+   * Whether the connection broke before the answer was complete, as when the
+   * endpoint crashes.
+   */
   readonly brokeOff?: boolean;
   readonly promptTokens?: number;
   readonly outputTokens?: number;
@@ -47,18 +55,18 @@
   readonly betweenTokensMs?: number;
 }
 
-/** Held while an attempt runs; must be released once. */
+/** Held while an attempt runs; must be released exactly once. */
 export interface Permit {
   readonly endpoint: Endpoint;
-  /** Tells how many tokens have come so far. */
+  /** Reports how many output tokens have been received so far. */
   progress(outputTokens: number): void;
   release(report: AttemptReport): void;
 }
 
-/** Gives out permits. */
+/** Grants permits. */
 export abstract class Permits {
   /**
-   * Waits for leave to run.
+   * Waits for a permit.
    *
    * @throws RequestError with verdict `not_run` when refused, or when the
    * signal aborts while it waits.
--- a/packages/entry/src/choose/stopping_permits.ts
+++ b/packages/entry/src/choose/stopping_permits.ts
@@ -1,4 +1,4 @@
-/** Gives no permit to an attempt that a stopping instance can't finish. */
+/** Refuses attempts that a stopping instance can't finish. */
 
 import type {StopGate} from '../admit/stop_gate.js';
 import {Permits, type Permit, type PermitRequest} from './permits.js';
@@ -10,13 +10,14 @@
 }
 
 /**
- * All attempts ask here, whichever way their request came. A request that waits
- * is refused as soon as it is too late for it: given its place at an endpoint in
- * the last moment, it would run and be cut.
+ * Checks every attempt, however its request arrived. A waiting request is
+ * refused as soon as it is too late for it to finish: granted an endpoint at
+ * the last moment, it would start and then be cut off.
  *
- * One that may have run already is let through. A refusal could no longer say
- * that it has not, and its caller, who may have read half an answer, would lose
- * the part of the grace time in which another endpoint may well finish it.
+ * A request that may already have run isn't checked. A refusal could no longer
+ * say that it hasn't run, and its caller, who may have read half an answer,
+ * would lose the rest of the grace time, in which another endpoint may well
+ * finish it.
  */
 export class StoppingPermits extends Permits {
   constructor(private readonly options: StoppingPermitsOptions) {
--- a/packages/entry/src/choose/suspect_guard.test.ts
+++ b/packages/entry/src/choose/suspect_guard.test.ts
@@ -8,12 +8,12 @@
 import {SuspectTrials} from './suspect_trials.js';
 
 class RecordingPermits extends Permits {
-  readonly asked: PermitRequest[] = [];
+  readonly recorded: PermitRequest[] = [];
 
   async acquire(request: PermitRequest): Promise<Permit> {
-    this.asked.push(request);
+    this.recorded.push(request);
     const endpoint = {
-      id: `e${this.asked.length}`,
+      id: `e${this.recorded.length}`,
       dataCentre: 'akl-a',
     } as unknown as Endpoint;
     return {endpoint, progress: () => {}, release: () => {}};
@@ -21,19 +21,20 @@
 }
 
 test('copies of a suspected request wait for the one that runs alone', async t => {
-  // A caller whose request has crashed an engine sends it again twice a second.
-  // Run alone side by side, each copy would crash an engine of its own.
+  // Guards against copies of a suspected request that run alone at the same
+  // time, each crashing another engine. A caller repeats such a request twice a
+  // second.
   const permits = new RecordingPermits();
   const self = brandAs<InstanceId>('akl-a-1');
   const clock = () => performance.now();
-  const trials = new SuspectTrials({self, clock, spread: () => {}});
+  const trials = new SuspectTrials({self, clock, publish: () => {}});
   const guard = new SuspectGuard({
     permits,
     trials,
     self,
     incarnation: () => brandAs('life'),
     clock,
-    spread: () => {},
+    publish: () => {},
   });
   const {signal} = new AbortController();
   const request = {
@@ -44,16 +45,16 @@
   const crash = {outcome: 'crashed', brokeOff: true} as const;
   (await guard.acquire(request, signal)).release(crash);
   const trial = await guard.acquire(request, signal);
-  t.true(permits.asked[1].suspect);
+  t.true(permits.recorded[1].suspect);
   const copies = [1, 2, 3].map(() => guard.acquire(request, signal));
   const refusals = Promise.all(
     copies.map(copy => t.throwsAsync(copy, {instanceOf: RequestError})),
   );
   await delay(300);
-  t.is(permits.asked.length, 2);
+  t.is(permits.recorded.length, 2);
   trial.release(crash);
   for (const error of await refusals) {
     t.is(error.refusal.code, 'suspected_crash');
   }
-  t.is(permits.asked.length, 2);
+  t.is(permits.recorded.length, 2);
 });
--- a/packages/entry/src/choose/suspect_guard.ts
+++ b/packages/entry/src/choose/suspect_guard.ts
@@ -1,4 +1,4 @@
-/** Keeps requests that crash endpoints from doing so again and again. */
+/** Prevents requests that crash endpoints from crashing one after the other. */
 
 import {RequestError} from '@snipestage/errors/request_error.js';
 import {SuspectTable, type ReportedCrash} from '@snipestage/policy/suspects.js';
@@ -26,15 +26,16 @@
   readonly incarnation: () => Incarnation;
   readonly clock: MonotonicClock;
   readonly trials: SuspectTrials;
-  /** Told of what other instances should know. */
-  readonly spread: (crashes: readonly ReportedCrash[]) => void;
+  /** Sends new or changed crashes to the other instances. */
+  readonly publish: (crashes: readonly ReportedCrash[]) => void;
 }
 
 /**
- * A request that crashes its endpoint is sent again by its caller, and by the
- * router itself to the next endpoint, until none is left. So whatever was in
- * flight at a crash runs alone from then on, which shows who it was, and is
- * refused after a second crash. Others are cleared by finishing.
+ * A request that crashes its endpoint is repeated by its caller, and by the
+ * router itself at the next endpoint, until no endpoint is left. Therefore each
+ * request that was in flight at a crash runs alone from then on, which shows
+ * whether it was the cause, and is refused after a second crash. The others are
+ * cleared when they finish.
  */
 export class SuspectGuard extends Permits {
   private readonly table = new SuspectTable();
@@ -50,7 +51,7 @@
   async acquire(request: PermitRequest, signal: AbortSignal): Promise<Permit> {
     const {permits} = this.options;
     const {fingerprint} = request;
-    const suspect = await this.waitForTurn(request, signal);
+    const suspect = await this.waitForTrial(request, signal);
     let permit: Permit;
     try {
       permit = await permits.acquire({...request, suspect}, signal);
@@ -59,51 +60,54 @@
       throw error;
     }
     const endpoint = permit.endpoint.id;
-    this.enter(endpoint, fingerprint);
+    this.addInFlight(endpoint, fingerprint);
     return {
       endpoint: permit.endpoint,
       progress: tokens => permit.progress(tokens),
       release: report => {
-        this.settle(permit, {fingerprint, alone: suspect}, report);
+        this.recordOutcome(permit, {fingerprint, alone: suspect}, report);
         if (suspect) this.trials.end(fingerprint);
-        this.leave(endpoint, fingerprint);
+        this.removeInFlight(endpoint, fingerprint);
         permit.release(report);
       },
     };
   }
 
-  /** True when the request must run alone; its trial has begun then. */
-  private async waitForTurn(
+  /**
+   * Waits while a copy of the request runs alone. Returns true if the request
+   * itself must run alone; its trial has then begun.
+   */
+  private async waitForTrial(
     {fingerprint, remainingMs}: PermitRequest,
     signal: AbortSignal,
   ): Promise<boolean> {
     const {clock} = this.options;
     const deadlineMs = clock() + remainingMs;
     for (;;) {
-      const judgement = this.table.classify(fingerprint, clock());
-      if (judgement.kind === 'refuse') {
-        throw suspectedCrash(judgement.retryAfterMs);
+      const decision = this.table.classify(fingerprint, clock());
+      if (decision.kind === 'refuse') {
+        throw suspectedCrash(decision.retryAfterMs);
       }
-      if (judgement.kind === 'clear') return false;
+      if (decision.kind === 'clear') return false;
       if (!this.trials.isRunning(fingerprint)) break;
       if (clock() > deadlineMs) throw suspectedCrash(TRIAL_RETRY_AFTER_MS);
-      await this.trials.lookAgainLater(signal);
-      // The permits below refuse what has been aborted.
+      await this.trials.waitForNextCheck(signal);
+      // The wrapped permits refuse aborted requests.
       if (signal.aborted) return false;
     }
     this.trials.begin(fingerprint);
     return true;
   }
 
-  /** Takes in what another instance tells. */
-  take(crashes: readonly ReportedCrash[]): void {
+  /** Merges crashes reported by another instance. */
+  mergeCrashes(crashes: readonly ReportedCrash[]): void {
     const nowMs = this.options.clock();
     this.table.merge(crashes, nowMs);
-    // It is on its way to all; only what is seen here is to be told from here.
+    // Not published again: only crashes observed here are published from here.
     this.table.takeChanges(nowMs);
   }
 
-  /** All that is known, for an instance that has just started. */
+  /** Returns all known crashes, for an instance that has just started. */
   readAll(): ReportedCrash[] {
     return this.table.readAll(this.options.clock());
   }
@@ -112,7 +116,7 @@
     return {crashes: this.readAll()};
   }
 
-  private settle(
+  private recordOutcome(
     permit: Permit,
     ran: {readonly fingerprint: Fingerprint; readonly alone: boolean},
     report: AttemptReport,
@@ -121,7 +125,7 @@
     if (report.brokeOff === true) this.reportCrash(permit, ran.alone);
     const nowMs = this.options.clock();
     const changes = this.table.takeChanges(nowMs);
-    if (changes.length > 0) this.options.spread(changes);
+    if (changes.length > 0) this.options.publish(changes);
   }
 
   private reportCrash({endpoint}: Permit, alone: boolean): void {
@@ -139,12 +143,12 @@
     this.table.merge([crash], clock());
   }
 
-  private enter(endpoint: EndpointId, fingerprint: Fingerprint): void {
+  private addInFlight(endpoint: EndpointId, fingerprint: Fingerprint): void {
     const inFlight = this.inFlight.get(endpoint) ?? [];
     this.inFlight.set(endpoint, [...inFlight, fingerprint]);
   }
 
-  private leave(endpoint: EndpointId, fingerprint: Fingerprint): void {
+  private removeInFlight(endpoint: EndpointId, fingerprint: Fingerprint): void {
     const inFlight = [...(this.inFlight.get(endpoint) ?? [])];
     inFlight.splice(inFlight.indexOf(fingerprint), 1);
     if (inFlight.length > 0) this.inFlight.set(endpoint, inFlight);
--- a/packages/entry/src/choose/suspect_trials.ts
+++ b/packages/entry/src/choose/suspect_trials.ts
@@ -1,17 +1,22 @@
-/** Which suspected requests are being run alone just now, and by whom. */
+/**
+ * Tracks which suspected requests currently run alone, and at which instance.
+ */
 
 import type {Fingerprint, InstanceId} from '@snipestage/types/ids.js';
 import type {MonotonicClock} from '../clock.js';
 
-/** A trial that has begun or ended, as instances tell each other. */
-export interface TrialNews {
+/** Announces to other instances that a trial has begun or ended. */
+export interface TrialUpdate {
   readonly fingerprint: Fingerprint;
   readonly running: boolean;
 }
 
-/** An instance that died in a trial can't tell its end. */
-const LONGEST_TRIAL_MS = 60_000;
-const LOOK_AGAIN_MS = 200;
+/**
+ * A trial counts as ended after this time, because an instance that died during
+ * a trial can't announce its end.
+ */
+const MAX_TRIAL_MS = 60_000;
+const TRIAL_POLL_MS = 200;
 
 interface Trial {
   readonly by: InstanceId;
@@ -22,14 +27,14 @@
 export interface SuspectTrialsOptions {
   readonly self: InstanceId;
   readonly clock: MonotonicClock;
-  readonly spread: (news: TrialNews) => void;
+  readonly publish: (update: TrialUpdate) => void;
 }
 
 /**
- * A caller that gets no answer sends its request again, also to other
- * instances. Were all these copies run alone at once, each would crash an
- * endpoint of its own before the first had shown anything. So one runs, and the
- * others wait for what comes of it.
+ * A caller that gets no answer repeats its request, also to other instances. If
+ * all copies ran alone at the same time, each would crash another endpoint
+ * before the first had a result. Therefore one runs and the others wait for its
+ * outcome.
  */
 export class SuspectTrials {
   private readonly trials = new Map<Fingerprint, Trial>();
@@ -46,17 +51,17 @@
 
   begin(fingerprint: Fingerprint): void {
     this.set(fingerprint, this.options.self);
-    this.options.spread({fingerprint, running: true});
+    this.options.publish({fingerprint, running: true});
   }
 
   end(fingerprint: Fingerprint): void {
     this.trials.delete(fingerprint);
-    this.options.spread({fingerprint, running: false});
+    this.options.publish({fingerprint, running: false});
   }
 
-  /** Takes in what another instance tells. */
-  take(news: TrialNews, from: InstanceId): void {
-    const {fingerprint, running} = news;
+  /** Applies an update from another instance. */
+  mergeUpdate(update: TrialUpdate, from: InstanceId): void {
+    const {fingerprint, running} = update;
     if (running) {
       if (!this.isRunning(fingerprint)) this.set(fingerprint, from);
     } else if (this.trials.get(fingerprint)?.by === from) {
@@ -64,11 +69,11 @@
     }
   }
 
-  /** Waits a moment, or until the signal aborts. */
-  async lookAgainLater(signal: AbortSignal): Promise<void> {
+  /** Waits for {@link TRIAL_POLL_MS}, or until the signal aborts. */
+  async waitForNextCheck(signal: AbortSignal): Promise<void> {
     if (signal.aborted) return;
     await new Promise<void>(resolve => {
-      const timer = setTimeout(finish, LOOK_AGAIN_MS);
+      const timer = setTimeout(finish, TRIAL_POLL_MS);
       function finish(): void {
         clearTimeout(timer);
         signal.removeEventListener('abort', finish);
@@ -79,7 +84,7 @@
   }
 
   private set(fingerprint: Fingerprint, by: InstanceId): void {
-    const untilMs = this.options.clock() + LONGEST_TRIAL_MS;
+    const untilMs = this.options.clock() + MAX_TRIAL_MS;
     this.trials.set(fingerprint, {by, untilMs});
   }
 }
--- a/packages/entry/src/clock.ts
+++ b/packages/entry/src/clock.ts
@@ -1,6 +1,6 @@
 /** Clocks; tests pass their own. */
 
-/** Milliseconds since some fixed instant; never goes back. */
+/** Returns milliseconds since some fixed instant; never decreases. */
 export type MonotonicClock = () => number;
 
 /**
--- a/packages/entry/src/compose/bind_endpoints.ts
+++ b/packages/entry/src/compose/bind_endpoints.ts
@@ -15,7 +15,7 @@
 import {monotonicNowMs} from '../clock.js';
 import {ConfigurationStore} from '../configure/configuration_store.js';
 import {TableExecutor} from '../configure/table_executor.js';
-import {DemandBoard} from '../endpoints/demand_board.js';
+import {DemandReports} from '../endpoints/demand_reports.js';
 import {DemandTask} from '../endpoints/demand_task.js';
 import {EndpointDirectory} from '../endpoints/endpoint_directory.js';
 import {EndpointListTask} from '../endpoints/endpoint_list_task.js';
@@ -40,7 +40,9 @@
       store => new EndpointDirectory(store),
       [ConfigurationStore],
     );
-  container.bind(DemandBoard).toConstantValue(new DemandBoard(monotonicNowMs));
+  container
+    .bind(DemandReports)
+    .toConstantValue(new DemandReports(monotonicNowMs));
   bindLists(container, settings);
   bindDemand(container, settings);
   bindOrders(container, settings);
@@ -55,7 +57,7 @@
         directory,
         dataCentre: settings.dataCentre,
         isReader: () => container.get(PeerTask).shouldReadTable(),
-        spread: list => network.broadcast(toListRecord(list)),
+        publish: list => network.broadcast(toListRecord(list)),
         clock: monotonicNowMs,
       }),
     [Platform, EndpointDirectory, PeerNetwork],
@@ -64,14 +66,14 @@
 
 function bindDemand(container: Container, settings: EntrySettings): void {
   container.bind(DemandTask).toResolvedValue(
-    (owners, permits, store, board, lease, network) =>
+    (owners, permits, store, demandReports, lease, network) =>
       new DemandTask({
         self: settings.instance,
         dataCentre: settings.dataCentre,
         owners,
         permits,
         classes: () => store.current.requestClasses,
-        board,
+        demandReports,
         lease,
         send: (to, demand) => network.send(to, toDemandRecord(demand)),
       }),
@@ -79,7 +81,7 @@
       CellOwners,
       CellPermits,
       ConfigurationStore,
-      DemandBoard,
+      DemandReports,
       ORDERS_LEASE,
       PeerNetwork,
     ],
@@ -96,7 +98,7 @@
         executor,
         view,
         logger,
-        candidatesAmong: () => instancesIn(view.live(), settings.dataCentre),
+        eligibleInstances: () => instancesIn(view.live(), settings.dataCentre),
       }),
     [TableExecutor, ClusterView, Logger],
   );
@@ -132,7 +134,7 @@
         orders,
         isReachable: dataCentre =>
           instancesIn(view.live(), dataCentre).length > 0,
-        spreadDrains: drains => {
+        publishDrains: drains => {
           directory.setDrains(drains);
           network.broadcast(toDrainRecord(drains));
         },
@@ -140,7 +142,7 @@
     [
       ConfigurationStore,
       EndpointDirectory,
-      DemandBoard,
+      DemandReports,
       ORDERS_LEASE,
       OrderTask,
       ClusterView,
--- a/packages/entry/src/compose/bind_handlers.ts
+++ b/packages/entry/src/compose/bind_handlers.ts
@@ -1,4 +1,4 @@
-/** Binds the serving of callers. */
+/** Binds the handlers of callers' requests. */
 
 import {Logger} from '@snipestage/log/logger.js';
 import {Metrics} from '@snipestage/log/metrics.js';
--- a/packages/entry/src/compose/bind_peers.ts
+++ b/packages/entry/src/compose/bind_peers.ts
@@ -1,4 +1,4 @@
-/** Binds membership and what travels between instances. */
+/** Binds membership and the exchange of records between instances. */
 
 import {Logger} from '@snipestage/log/logger.js';
 import {PeerNetwork} from '@snipestage/peer/peer_network.js';
--- a/packages/entry/src/compose/bind_permits.ts
+++ b/packages/entry/src/compose/bind_permits.ts
@@ -1,4 +1,4 @@
-/** Binds the choice of endpoints. */
+/** Binds permits, through which endpoints are chosen. */
 
 import {Metrics} from '@snipestage/log/metrics.js';
 import {PeerNetwork} from '@snipestage/peer/peer_network.js';
@@ -21,7 +21,10 @@
 import {toPeerRecord} from '../peers/permit_records.js';
 import {toSuspectRecord, toTrialRecord} from '../peers/suspect_records.js';
 
-/** Permits: the router, the owned cells and the clients of all others. */
+/**
+ * Binds the permit router, the owners of this instance's cells, the clients of
+ * all cells, and the wrappers around the permits.
+ */
 export function bindPermits(
   container: Container,
   settings: EntrySettings,
@@ -78,7 +81,7 @@
       new SuspectTrials({
         self,
         clock,
-        spread: news => network.broadcast(toTrialRecord(news)),
+        publish: update => network.broadcast(toTrialRecord(update)),
       }),
     [PeerNetwork],
   );
@@ -90,7 +93,7 @@
         self,
         incarnation: () => network.self().incarnation,
         clock,
-        spread: crashes => network.broadcast(toSuspectRecord(crashes)),
+        publish: crashes => network.broadcast(toSuspectRecord(crashes)),
       }),
     [CellPermits, SuspectTrials, PeerNetwork],
   );
--- a/packages/entry/src/compose/bind_platform.ts
+++ b/packages/entry/src/compose/bind_platform.ts
@@ -1,4 +1,4 @@
-/** Binds the platform and what follows its table. */
+/** Binds the platform and the parts that use its table. */
 
 import {Metrics} from '@snipestage/log/metrics.js';
 import {HttpPlatform} from '@snipestage/platform/http_platform.js';
@@ -10,7 +10,7 @@
 import {MeteredPlatform} from '../configure/metered_platform.js';
 import {RevisionTask} from '../configure/revision_task.js';
 import {TableExecutor} from '../configure/table_executor.js';
-import {TicketDesk} from '../operate/ticket_desk.js';
+import {TicketService} from '../operate/ticket_service.js';
 import {PeerTask} from '../peers/peer_task.js';
 
 export function bindPlatform(
@@ -45,10 +45,10 @@
     [ConfigurationStore, TableExecutor],
   );
   container
-    .bind(TicketDesk)
+    .bind(TicketService)
     .toResolvedValue(
       (platform, executor, store, revisions) =>
-        new TicketDesk({platform, executor, store, revisions}),
+        new TicketService({platform, executor, store, revisions}),
       [Platform, TableExecutor, ConfigurationStore, RevisionTask],
     );
 }
--- a/packages/entry/src/compose/bind_usage.ts
+++ b/packages/entry/src/compose/bind_usage.ts
@@ -12,11 +12,13 @@
 import {ClaimCleanupTask} from '../admit/claim_cleanup_task.js';
 import {ClusterView} from '../choose/cluster_view.js';
 import {TableExecutor} from '../configure/table_executor.js';
-import {findUsageKeeper, toUsageRecord} from '../peers/usage_records.js';
+import {findUsageReplica, toUsageRecord} from '../peers/usage_records.js';
 import {createLeaseTask} from './create_lease_task.js';
 import {USAGE_LEASE} from './tokens.js';
 
-/** One reporter for all data centres, one set of counters an instance. */
+/**
+ * Binds a set of counters per instance, and one reporter for all data centres.
+ */
 export function bindUsage(container: Container, settings: EntrySettings): void {
   container.bind(UsageCounterTask).toResolvedValue(
     (executor, view, network) =>
@@ -26,9 +28,9 @@
         windowMs: settings.usage.windowMs,
         writeEveryMs: settings.usage.writeEveryMs,
         executor,
-        findKeeper: () => findUsageKeeper(view),
-        sendCopies: (keeper, changes) =>
-          network.send(keeper, toUsageRecord(changes)),
+        findReplica: () => findUsageReplica(view),
+        sendCopies: (replica, changes) =>
+          network.send(replica, toUsageRecord(changes)),
       }),
     [TableExecutor, ClusterView, PeerNetwork],
   );
@@ -54,7 +56,7 @@
         executor,
         view,
         logger,
-        candidatesAmong: () => view.live().map(member => member.id),
+        eligibleInstances: () => view.live().map(member => member.id),
       }),
     [TableExecutor, ClusterView, Logger],
   );
--- a/packages/entry/src/compose/container.ts
+++ b/packages/entry/src/compose/container.ts
@@ -1,4 +1,4 @@
-/** Puts the process together. */
+/** Creates the process's dependency injection container. */
 
 import 'reflect-metadata';
 import {Logger} from '@snipestage/log/logger.js';
@@ -20,7 +20,7 @@
 import {IS_READY, SETTINGS} from './tokens.js';
 
 /**
- * Binds every part of the process to how it is made.
+ * Creates a container with a binding for every part of the process.
  *
  * @example
  * const container = createContainer(settings, () => process.isReady);
--- a/packages/entry/src/compose/create_lease_task.ts
+++ b/packages/entry/src/compose/create_lease_task.ts
@@ -1,4 +1,4 @@
-/** Makes the task that holds a lease. */
+/** Creates the task that holds a lease. */
 
 import type {LeaseName} from '@snipestage/types/ids.js';
 import type {InstanceId} from '@snipestage/types/ids.js';
@@ -10,8 +10,11 @@
 import {monotonicNowMs} from '../clock.js';
 import type {TableExecutor} from '../configure/table_executor.js';
 
-/** Enough for a successor to be there; more would only read the row. */
-const CANDIDATES = 3;
+/**
+ * Enough that a successor is available; more candidates would only add reads of
+ * the lease's row.
+ */
+const CANDIDATE_COUNT = 3;
 
 /** Options of {@link createLeaseTask}. */
 export interface CreateLeaseTaskOptions {
@@ -20,20 +23,28 @@
   readonly executor: TableExecutor;
   readonly view: ClusterView;
   readonly logger: Logger;
-  /** The instances of which a few stand for the lease. */
-  readonly candidatesAmong: () => readonly InstanceId[];
+  /** The instances among which the candidates for the lease are chosen. */
+  readonly eligibleInstances: () => readonly InstanceId[];
 }
 
 /**
- * A lease task with the settings' term and margin. Who stands for the lease is
- * a matter of economy only: two that both do are told apart by the table.
+ * Creates a lease task with the settings' term and margin. Limiting the
+ * candidates only saves reads: when several instances try to acquire the lease,
+ * the table decides between them.
  *
  * @example
  * const lease = createLeaseTask({name, settings, executor, view, logger,
  *   candidatesAmong: () => instances});
  */
 export function createLeaseTask(options: CreateLeaseTaskOptions): LeaseTask {
-  const {name, settings, executor, view, logger, candidatesAmong} = options;
+  const {
+    name,
+    settings,
+    executor,
+    view,
+    logger,
+    eligibleInstances: candidatesAmong,
+  } = options;
   const {termMs, marginMs, renewEveryMs} = settings.lease;
   const self = settings.instance;
   return new LeaseTask({
@@ -51,7 +62,7 @@
     logger: logger.forComponent('lease'),
     isCandidate: () =>
       rankByRendezvous(name, candidatesAmong())
-        .slice(0, CANDIDATES)
+        .slice(0, CANDIDATE_COUNT)
         .includes(self),
   });
 }
--- a/packages/entry/src/configure/configuration_store.test.ts
+++ b/packages/entry/src/configure/configuration_store.test.ts
@@ -4,11 +4,11 @@
 import {ConfigurationStore} from './configuration_store.js';
 
 test('an older configuration is never put in force', t => {
-  // A push overtakes another on its way. Put in force late, the older one would
-  // bring a withdrawn key back.
+  // Guards against a withdrawn key becoming valid again: when one push
+  // overtakes another, the older configuration arrives last.
   const store = new ConfigurationStore();
-  const told: number[] = [];
-  store.onChange(({revision}) => told.push(revision));
+  const published: number[] = [];
+  store.onChange(({revision}) => published.push(revision));
   const at = (revision: number) => ({
     ...emptyConfiguration(),
     revision: brandAs<Revision>(revision),
@@ -17,5 +17,5 @@
   t.false(store.apply(at(1)));
   t.false(store.apply(at(2)));
   t.is(store.revision, brandAs<Revision>(2));
-  t.deepEqual(told, [2]);
+  t.deepEqual(published, [2]);
 });
--- a/packages/entry/src/configure/configuration_store.ts
+++ b/packages/entry/src/configure/configuration_store.ts
@@ -5,10 +5,10 @@
 import type {Configuration} from '@snipestage/types/configuration.js';
 import type {Revision} from '@snipestage/types/ids.js';
 
-/** Is told of each new configuration. */
+/** Called with each configuration that comes into force. */
 export type ConfigurationListener = (configuration: Configuration) => void;
 
-/** Holds the newest configuration seen; never goes back. */
+/** Holds the newest configuration seen; never reverts to an older one. */
 export class ConfigurationStore {
   private configuration = emptyConfiguration();
   private index = new KeyIndex(this.configuration);
@@ -27,15 +27,19 @@
     return this.index;
   }
 
-  /** When the platform, or a peer that reached it, last confirmed it. */
+  /**
+   * Monotonic time at which the platform, or a peer that reached it, last
+   * confirmed the configuration; negative infinity if never.
+   */
   get lastConfirmedAtMs(): number {
     return this.confirmedAtMs;
   }
 
   /**
-   * Puts a configuration in force if it is newer. Pushes, gossip and reads
-   * overtake one another; an older one put in force late would bring a
-   * withdrawn key back.
+   * Puts a configuration in force if it is newer than the current one, and
+   * returns whether it is. Pushes, gossip and reads can overtake one another;
+   * an older configuration put in force late would make a withdrawn key valid
+   * again.
    */
   apply(configuration: Configuration): boolean {
     if (configuration.revision <= this.configuration.revision) return false;
--- a/packages/entry/src/configure/metered_platform.ts
+++ b/packages/entry/src/configure/metered_platform.ts
@@ -30,7 +30,7 @@
   readonly clock: MonotonicClock;
 }
 
-/** Passes everything on. */
+/** Delegates to another platform and sends metrics of each call. */
 export class MeteredPlatform extends Platform {
   constructor(private readonly options: MeteredPlatformOptions) {
     super();
--- a/packages/entry/src/configure/revision_task.ts
+++ b/packages/entry/src/configure/revision_task.ts
@@ -15,13 +15,13 @@
 import type {ConfigurationStore} from './configuration_store.js';
 import type {TableExecutor} from './table_executor.js';
 
-/** How a revision reaches the peers. */
+/** Exchange of revisions with peers. */
 export interface RevisionPeers {
-  /** Told of what this instance has learnt from the table. */
+  /** Sends peers a delta that this instance has read from the table. */
   push(delta: ConfigurationDelta): void;
-  /** Told of each revision that has come into force here. */
+  /** Called with each revision that has come into force here. */
   applied(revision: Revision): void;
-  /** Asks one peer for what came after a revision. */
+  /** Requests the changes after a revision from one peer. */
   ask(peer: InstanceId, from: Revision): void;
 }
 
@@ -49,7 +49,7 @@
     return this.state;
   }
 
-  /** Whether any configuration was ever learnt. */
+  /** Whether a configuration has been received yet. */
   get isLoaded(): boolean {
     return this.state.loaded;
   }
@@ -71,7 +71,7 @@
     clearInterval(this.timer);
   }
 
-  /** Reads the head row now, such as after a ticket was accepted here. */
+  /** Reads the head row now, for example after a ticket was accepted here. */
   poll(): void {
     this.handle({kind: 'poll', nowMs: this.options.clock()});
   }
@@ -79,7 +79,8 @@
   handle(event: RevisionEvent): void {
     const step = transitionRevisions(this.state, event);
     this.state = step.state;
-    // What peers told is on its way to all of them already.
+    // Deltas from peers aren't pushed: they are on their way to all peers
+    // already.
     const isFromTable = event.kind === 'read_answered';
     for (const effect of step.effects) void this.carryOut(effect, isFromTable);
     if (this.state.confirmedAtMs !== undefined) {
--- a/packages/entry/src/configure/table_executor.ts
+++ b/packages/entry/src/configure/table_executor.ts
@@ -1,4 +1,4 @@
-/** Carries out what the agreement protocols ask of the platform's table. */
+/** Carries out the agreement protocols' effects on the platform's table. */
 
 import type {
   TableEffect,
@@ -13,7 +13,10 @@
 export interface TableExecutorOptions {
   readonly platform: Platform;
   readonly clock: MonotonicClock;
-  /** At least 0 and below 1; spreads out those who wait. */
+  /**
+   * Returns a number of at least 0 and below 1; spreads out the waits of
+   * several instances.
+   */
   readonly random?: () => number;
 }
 
@@ -26,7 +29,7 @@
   }
 
   /**
-   * Makes one call and gives its event. Never throws.
+   * Makes one call and returns its event. Never throws.
    *
    * @example
    * const event = await executor.carryOut(effect);
--- a/packages/entry/src/endpoints/demand.ts
+++ b/packages/entry/src/endpoints/demand.ts
@@ -1,4 +1,4 @@
-/** What cells have to do, for the plan of endpoints. */
+/** Demand of cells, as input to endpoint planning. */
 
 import type {CellSnapshot} from '@snipestage/policy/cell_owner.js';
 import type {DemandLine} from '@snipestage/policy/endpoint_plan_input.js';
@@ -6,7 +6,10 @@
 import type {EndpointId} from '@snipestage/types/ids.js';
 import type {CellMap} from '../choose/cell_map.js';
 
-/** Requests at once, by class and by endpoint. */
+/**
+ * Concurrent requests: `lines` by model and request class, `running` by
+ * endpoint.
+ */
 export interface Demand {
   readonly lines: readonly DemandLine[];
   readonly running: ReadonlyArray<{
@@ -16,7 +19,8 @@
 }
 
 /**
- * The demand of the cells that an instance owns: what runs and what waits.
+ * Returns the demand of the cells that an instance owns. The lines include
+ * running and waiting requests.
  *
  * @example
  * const demand = measureDemand(owners.snapshot(), map, classes);
--- a/packages/entry/src/endpoints/demand_board.ts
+++ b/packages/entry/src/endpoints/demand_reports.ts
@@ -1,4 +1,4 @@
-/** The demand that instances have told, as long as it is fresh. */
+/** The demand reported by instances, while it is fresh. */
 
 import type {DemandLine} from '@snipestage/policy/endpoint_plan_input.js';
 import type {
@@ -9,25 +9,31 @@
 import type {MonotonicClock} from '../clock.js';
 import type {Demand} from './demand.js';
 
-/** Kept so long, so that the demand of a lost data centre is still served. */
-const KEEP_MS = 60_000;
+/**
+ * Reports are kept this long, so that the demand of a lost data centre is still
+ * planned for.
+ */
+const DEMAND_TTL_MS = 60_000;
 
-/** One entry an instance. */
-export class DemandBoard {
-  private readonly told = new Map<InstanceId, {demand: Demand; atMs: number}>();
+/** Holds the latest report of each instance. */
+export class DemandReports {
+  private readonly reports = new Map<
+    InstanceId,
+    {demand: Demand; atMs: number}
+  >();
 
   constructor(private readonly clock: MonotonicClock) {}
 
   set(from: InstanceId, demand: Demand): void {
-    this.told.set(from, {demand, atMs: this.clock()});
+    this.reports.set(from, {demand, atMs: this.clock()});
   }
 
   lines(): DemandLine[] {
     return this.fresh().flatMap(({lines}) => lines);
   }
 
-  /** All that was told of one data centre, as one. */
-  sumOf(dataCentre: DataCentreId): Demand {
+  /** The lines for one data centre from all reports, as one demand. */
+  sumFor(dataCentre: DataCentreId): Demand {
     const all = this.fresh();
     const isOwn = (line: DemandLine) => line.dataCentre === dataCentre;
     return {
@@ -47,10 +53,10 @@
   }
 
   private fresh(): Demand[] {
-    const oldestMs = this.clock() - KEEP_MS;
-    for (const [instance, {atMs}] of this.told) {
-      if (atMs < oldestMs) this.told.delete(instance);
+    const oldestMs = this.clock() - DEMAND_TTL_MS;
+    for (const [instance, {atMs}] of this.reports) {
+      if (atMs < oldestMs) this.reports.delete(instance);
     }
-    return [...this.told.values()].map(({demand}) => demand);
+    return [...this.reports.values()].map(({demand}) => demand);
   }
 }
--- a/packages/entry/src/endpoints/demand_task.ts
+++ b/packages/entry/src/endpoints/demand_task.ts
@@ -1,4 +1,7 @@
-/** Brings the demand of all cells to those who plan endpoints. */
+/**
+ * Sends the demand of this instance's cells to the instances that plan
+ * endpoints.
+ */
 
 import type {RequestClass} from '@snipestage/types/configuration.js';
 import type {DataCentreId, InstanceId} from '@snipestage/types/ids.js';
@@ -6,9 +9,9 @@
 import type {CellPermits} from '../choose/cell_permits.js';
 import type {LeaseTask} from '../agree/lease_task.js';
 import {measureDemand, type Demand} from './demand.js';
-import type {DemandBoard} from './demand_board.js';
+import type {DemandReports} from './demand_reports.js';
 
-const TELL_EVERY_MS = 5000;
+const PUBLISH_INTERVAL_MS = 5000;
 
 /** Options of {@link DemandTask}. */
 export interface DemandTaskOptions {
@@ -17,15 +20,16 @@
   readonly owners: CellOwners;
   readonly permits: CellPermits;
   readonly classes: () => ReadonlyMap<string, RequestClass>;
-  readonly board: DemandBoard;
+  readonly demandReports: DemandReports;
   readonly lease: LeaseTask;
   readonly send: (to: InstanceId, demand: Demand) => void;
 }
 
 /**
- * Each instance tells its own data centre's planner, and planners tell each
- * other their sums: a message to every planner from every instance would cost
- * a planner dozens of frames a second at full size.
+ * Each instance reports to its own data centre's planner, and planners send
+ * each other the reported lines of their data centres: a message from every
+ * instance to every planner would cost a planner dozens of frames a second at
+ * full size.
  */
 export class DemandTask {
   private readonly holders = new Map<DataCentreId, InstanceId>();
@@ -34,34 +38,35 @@
   constructor(private readonly options: DemandTaskOptions) {}
 
   start(): void {
-    this.timer = setInterval(() => this.tell(), TELL_EVERY_MS);
+    this.timer = setInterval(() => this.publish(), PUBLISH_INTERVAL_MS);
   }
 
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Who plans for a data centre, as it has told. */
-  noteHolder(dataCentre: DataCentreId, holder: InstanceId): void {
+  /** Records which instance has announced that it plans for a data centre. */
+  setHolder(dataCentre: DataCentreId, holder: InstanceId): void {
     this.holders.set(dataCentre, holder);
   }
 
-  take(from: InstanceId, demand: Demand): void {
-    this.options.board.set(from, demand);
+  receive(from: InstanceId, demand: Demand): void {
+    this.options.demandReports.set(from, demand);
   }
 
-  private tell(): void {
-    const {self, dataCentre, owners, permits, classes, board} = this.options;
+  private publish(): void {
+    const {self, dataCentre, owners, permits, classes, demandReports} =
+      this.options;
     const own = measureDemand(owners.snapshot(), permits.cells, classes());
-    board.set(self, own);
+    demandReports.set(self, own);
     const holder = this.holders.get(dataCentre);
-    if (this.options.lease.held !== undefined) this.tellOtherHolders();
+    if (this.options.lease.held !== undefined) this.publishToOtherHolders();
     else if (holder !== undefined) this.options.send(holder, own);
   }
 
-  private tellOtherHolders(): void {
-    const {self, dataCentre, board, send} = this.options;
-    const sum = board.sumOf(dataCentre);
+  private publishToOtherHolders(): void {
+    const {self, dataCentre, demandReports, send} = this.options;
+    const sum = demandReports.sumFor(dataCentre);
     for (const [other, holder] of this.holders) {
       if (other !== dataCentre && holder !== self) send(holder, sum);
     }
--- a/packages/entry/src/endpoints/endpoint_directory.ts
+++ b/packages/entry/src/endpoints/endpoint_directory.ts
@@ -1,26 +1,29 @@
-/** All endpoints: configured ones and those that the platform runs. */
+/**
+ * Directory of all endpoints: configured ones and those that the platform runs.
+ */
 
 import type {Configuration, Endpoint} from '@snipestage/types/configuration.js';
 import type {DataCentreId, EndpointId} from '@snipestage/types/ids.js';
 import type {ListedEndpoint} from '@snipestage/types/platform_messages.js';
 import type {ConfigurationStore} from '../configure/configuration_store.js';
 
-/** What the platform lists for one data centre, as some instance read it. */
+/** The platform's list for one data centre, as read by some instance. */
 export interface EndpointList {
   readonly dataCentre: DataCentreId;
   readonly items: readonly ListedEndpoint[];
 }
 
-/** Endpoints that the plan empties, one data centre. */
+/** Endpoints of one data centre that the plan drains. */
 export interface DrainList {
   readonly dataCentre: DataCentreId;
   readonly endpoints: readonly EndpointId[];
 }
 
 /**
- * An endpoint leaves by ticket, by the platform's list or by the plan,
- * whichever comes first; from then on it gets no new work. The same holds while
- * its data centre is evacuated.
+ * Merges the configured endpoints with the listed ones. An endpoint is marked
+ * as leaving by a ticket, by the platform's list or by the plan, whichever
+ * comes first; from then on it gets no new work. The same applies while its
+ * data centre is evacuated.
  */
 export class EndpointDirectory {
   private readonly lists = new Map<DataCentreId, EndpointList>();
@@ -90,7 +93,10 @@
   }
 }
 
-/** Only what a pool asks for is used; starting ones are not there yet. */
+/**
+ * Returns `undefined` for an endpoint that belongs to no configured pool or is
+ * still starting.
+ */
 function fromList(
   item: ListedEndpoint,
   configuration: Configuration,
--- a/packages/entry/src/endpoints/endpoint_list_task.ts
+++ b/packages/entry/src/endpoints/endpoint_list_task.ts
@@ -5,25 +5,31 @@
 import type {EndpointDirectory, EndpointList} from './endpoint_directory.js';
 
 const READ_EVERY_MS = 1000;
-/** Told again so often, for instances that have missed it. */
-const REPEAT_EVERY_MS = 10_000;
+/**
+ * An unchanged list is published again at this interval, for instances that
+ * have missed it.
+ */
+const REPUBLISH_INTERVAL_MS = 10_000;
 
 /** Options of {@link EndpointListTask}. */
 export interface EndpointListTaskOptions {
   readonly platform: Platform;
   readonly directory: EndpointDirectory;
   readonly dataCentre: DataCentreId;
-  /** Whether this instance reads for its data centre. */
+  /** Whether this instance reads the list for its data centre. */
   readonly isReader: () => boolean;
-  readonly spread: (list: EndpointList) => void;
+  readonly publish: (list: EndpointList) => void;
   readonly clock: () => number;
 }
 
-/** While the platform can't be read, the last list stays in force. */
+/**
+ * Reads and publishes the list. While the platform can't be read, the last list
+ * stays in force.
+ */
 export class EndpointListTask {
   private timer: NodeJS.Timeout | undefined;
-  private told = '';
-  private toldAtMs = Number.NEGATIVE_INFINITY;
+  private publishedText = '';
+  private publishedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: EndpointListTaskOptions) {}
 
@@ -43,16 +49,16 @@
     const items = result.items.filter(item => item.dataCentre === dataCentre);
     const list: EndpointList = {dataCentre, items};
     directory.setList(list);
-    this.tell(list);
+    this.publishIfDue(list);
   }
 
-  private tell(list: EndpointList): void {
+  private publishIfDue(list: EndpointList): void {
     const nowMs = this.options.clock();
     const text = JSON.stringify(list);
-    const isDue = nowMs - this.toldAtMs >= REPEAT_EVERY_MS;
-    if (text === this.told && !isDue) return;
-    this.told = text;
-    this.toldAtMs = nowMs;
-    this.options.spread(list);
+    const isDue = nowMs - this.publishedAtMs >= REPUBLISH_INTERVAL_MS;
+    if (text === this.publishedText && !isDue) return;
+    this.publishedText = text;
+    this.publishedAtMs = nowMs;
+    this.options.publish(list);
   }
 }
--- a/packages/entry/src/endpoints/plan_task.ts
+++ b/packages/entry/src/endpoints/plan_task.ts
@@ -14,7 +14,7 @@
 import type {LeaseTask} from '../agree/lease_task.js';
 import type {OrderTask} from '../agree/order_task.js';
 import type {ConfigurationStore} from '../configure/configuration_store.js';
-import type {DemandBoard} from './demand_board.js';
+import type {DemandReports} from './demand_reports.js';
 import type {DrainList, EndpointDirectory} from './endpoint_directory.js';
 
 const DEFAULT_PLAN_EVERY_MS = 5000;
@@ -24,17 +24,20 @@
   readonly dataCentre: DataCentreId;
   readonly store: ConfigurationStore;
   readonly directory: EndpointDirectory;
-  readonly demand: DemandBoard;
+  readonly demand: DemandReports;
   readonly lease: LeaseTask;
   readonly orders: OrderTask;
-  /** Whether any instance of a data centre is heard of. */
+  /** Whether any instance of a data centre is live. */
   readonly isReachable: (dataCentre: DataCentreId) => boolean;
-  readonly spreadDrains: (drains: DrainList) => void;
+  readonly publishDrains: (drains: DrainList) => void;
   readonly planEveryMs?: number;
   readonly nowEpochMs?: () => number;
 }
 
-/** Every holder plans for all data centres and orders for its own. */
+/**
+ * Every holder of an order lease plans for all data centres and sends orders
+ * for its own.
+ */
 export class PlanTask {
   private timer: NodeJS.Timeout | undefined;
   private memory: PlanMemory = EMPTY_PLAN_MEMORY;
@@ -65,15 +68,15 @@
   }
 
   private plan(): void {
-    const {store, lease, orders, dataCentre, spreadDrains} = this.options;
+    const {store, lease, orders, dataCentre, publishDrains} = this.options;
     const hasPools = store.current.endpointPools.size > 0;
     if (lease.held === undefined || !hasPools) return;
     const plan = this.compute();
     this.lastPlan = plan;
     this.memory = plan.memory;
     const own = plan.targets.filter(each => each.dataCentre === dataCentre);
-    spreadDrains({dataCentre, endpoints: own.flatMap(each => each.drain)});
-    orders.want([...own.map(toContent), ...this.modelOrders()]);
+    publishDrains({dataCentre, endpoints: own.flatMap(each => each.drain)});
+    orders.setDesired([...own.map(toContent), ...this.modelOrders()]);
   }
 
   private compute(): EndpointPlan {
@@ -84,7 +87,8 @@
       nowEpochMs: nowEpochMs(),
       dataCentres: [...dataCentres.values()].map(each => ({
         ...each,
-        // Nothing is ordered there; the others take over its demand.
+        // Nothing is ordered in an unreachable or evacuated data centre; the
+        // others take over its demand.
         reachable: isReachable(each.id) && each.evacuated !== true,
       })),
       pools: [...endpointPools.values()],
@@ -106,13 +110,18 @@
     }));
   }
 
-  /** Not what the plan itself drains: it decides on that anew each time. */
+  /**
+   * Ignores drains by the plan itself, because each plan decides on them anew.
+   */
   private stateOf(item: ListedEndpoint): ObservedEndpoint['state'] {
     const configured = this.options.store.current.endpoints.get(item.id);
     return configured?.leaving === true ? 'leaving' : item.state;
   }
 
-  /** An engine is told to load its model; loaded already, it does nothing. */
+  /**
+   * Orders live engines to load their models; an engine that has loaded its
+   * model does nothing.
+   */
   private modelOrders(): OrderContent[] {
     const {dataCentre, directory, store} = this.options;
     return directory
--- a/packages/entry/src/entry_process.ts
+++ b/packages/entry/src/entry_process.ts
@@ -1,4 +1,4 @@
-/** The entry daemon: its tasks, started and ended in order. */
+/** The entry daemon: creates its tasks, and starts and stops them in order. */
 
 import {Logger} from '@snipestage/log/logger.js';
 import {Metrics} from '@snipestage/log/metrics.js';
@@ -42,9 +42,9 @@
 import {readSealedWindows} from './operate/usage_reader.js';
 import {GaugeTask} from './operate/gauge_task.js';
 import {StateDump} from './operate/state_dump.js';
-import {TicketDesk} from './operate/ticket_desk.js';
+import {TicketService} from './operate/ticket_service.js';
 
-const LAST_WRITES_PATIENCE_MS = 5000;
+const FINAL_WRITES_TIMEOUT_MS = 5000;
 
 /** One running instance. */
 export class EntryProcess {
@@ -101,7 +101,7 @@
     });
   }
 
-  /** Resolves when nothing is left to do. */
+  /** Shuts down gracefully; resolves when the shutdown is complete. */
   stop(): Promise<void> {
     return this.shutdown.begin();
   }
@@ -125,7 +125,7 @@
       host,
       port,
       operatorKeyHashes,
-      tickets: this.container.get(TicketDesk),
+      tickets: this.container.get(TicketService),
       status: () => this.status(),
       dump: () => ({
         ...this.container.get(StateDump).read(),
@@ -168,9 +168,9 @@
   }
 
   private async closeAll(): Promise<void> {
-    const ticketsDone = this.container.get(TicketDesk).close();
+    const ticketsDone = this.container.get(TicketService).close();
     await this.container.get(ClaimDesk).whenSettled();
-    await this.container.get(UsageCounterTask).stop(LAST_WRITES_PATIENCE_MS);
+    await this.container.get(UsageCounterTask).stop(FINAL_WRITES_TIMEOUT_MS);
     await ticketsDone;
     this.container.get(RevisionTask).stop();
     this.container.get(CellPermits).stop();
@@ -194,7 +194,7 @@
     };
   }
 
-  /** Tasks beside the requests; none is needed to serve one. */
+  /** Background tasks; none of them takes part in serving a request. */
   private backgroundTasks(): Array<{start(): void; stop(): void}> {
     return [
       this.container.get(EndpointListTask),
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -20,18 +20,19 @@
 async function run(options: {readonly settings: string}): Promise<void> {
   const entry = new EntryProcess(readEntrySettings(options.settings));
   const stop = () => {
-    // What is left then are sockets that nobody waits for.
+    // Only sockets that nobody waits for are left then.
     void entry.stop().then(() => process.exit(0));
   };
-  // A supervisor may send it again while the instance finishes a long answer.
-  // With the handler gone, Node.js would end at once and cut all that runs.
+  // A supervisor may repeat the signal while the instance finishes a long
+  // answer. Without a handler Node.js would exit at once and cut off all
+  // running requests.
   process.on('SIGTERM', stop);
-  // A person who presses Ctrl-C a second time doesn't want to wait.
+  // Pressing Ctrl-C a second time ends the process without waiting.
   process.once('SIGINT', stop);
   await entry.start();
 }
 
-function explain(error: unknown): void {
+function exitWithError(error: unknown): void {
   if (error instanceof InputError) {
     process.stderr.write(`${error.message}\n`);
     for (const fault of error.faults) {
@@ -44,4 +45,4 @@
   process.exit(EXIT_INTERNAL);
 }
 
-program.parseAsync().catch(explain);
+program.parseAsync().catch(exitWithError);
--- a/packages/entry/src/operate/admin_server.ts
+++ b/packages/entry/src/operate/admin_server.ts
@@ -1,4 +1,4 @@
-/** The listener that operators reach. */
+/** HTTP server of the operators' interface. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -10,7 +10,11 @@
 import restify from 'restify';
 import {refusalOf} from '../answer/refusal_response.js';
 import {parseJsonObject, readBody} from '../listen/read_body.js';
-import type {SubmitOutcome, TicketDesk, TicketList} from './ticket_desk.js';
+import type {
+  SubmitOutcome,
+  TicketList,
+  TicketService,
+} from './ticket_service.js';
 
 const MAX_TICKET_BYTES = 8 * 1024 * 1024;
 const BEARER = /^Bearer +(\S+)$/i;
@@ -26,7 +30,7 @@
   unavailable: 503,
 };
 
-/** Gives the JSON for one of the read-only calls. */
+/** Returns the JSON body for one of the read-only calls. */
 export type AdminReader = () => unknown;
 
 /** Options of {@link AdminServer}. */
@@ -34,14 +38,14 @@
   readonly host: string;
   readonly port: number;
   readonly operatorKeyHashes: readonly KeyHash[];
-  readonly tickets: TicketDesk;
+  readonly tickets: TicketService;
   readonly status: AdminReader;
   readonly dump: AdminReader;
   readonly usage: AdminReader;
   readonly drain: () => void;
 }
 
-/** Owns the operators' sockets. */
+/** Owns the listener and the sockets of operators. */
 export class AdminServer {
   private readonly server = restify.createServer({name: 'snipestage-admin'});
 
@@ -156,8 +160,8 @@
 
 function sendOutcome(response: ServerResponse, outcome: SubmitOutcome): void {
   const {kind, ...rest} = outcome;
-  const told = kind === 'malformed' ? 'invalid' : kind;
-  sendJson(response, STATUS_OF_OUTCOME[kind], {outcome: told, ...rest});
+  const publicKind = kind === 'malformed' ? 'invalid' : kind;
+  sendJson(response, STATUS_OF_OUTCOME[kind], {outcome: publicKind, ...rest});
 }
 
 function sendTickets(response: ServerResponse, list: TicketList): void {
--- a/packages/entry/src/operate/gauge_task.ts
+++ b/packages/entry/src/operate/gauge_task.ts
@@ -22,7 +22,7 @@
   readonly leases: readonly LeaseTask[];
 }
 
-/** Reads the tasks' state; changes nothing. */
+/** Reads the state of other parts without changing it. */
 export class GaugeTask {
   private timer: NodeJS.Timeout | undefined;
   private readonly delay: IntervalHistogram = monitorEventLoopDelay();
--- a/packages/entry/src/operate/shutdown.ts
+++ b/packages/entry/src/operate/shutdown.ts
@@ -1,4 +1,4 @@
-/** Ends the process without cutting a request. */
+/** Graceful shutdown: lets requests finish before the process ends. */
 
 import type {Logger} from '@snipestage/log/logger.js';
 import {STOP_RETRY_AFTER_MS} from '@snipestage/policy/stop_admission.js';
@@ -6,14 +6,16 @@
 import {shuttingDown, type StopGate} from '../admit/stop_gate.js';
 import type {MonotonicClock} from '../clock.js';
 
-/** A step of the shutdown that some task has to do. */
+/** A step of the shutdown that other parts carry out. */
 export type ShutdownStep = () => void | Promise<void>;
 
 /**
- * How far a shutdown has come.
+ * Progress of a shutdown.
  *
- * - `finishing`: requests are finished, and those that can be are still taken.
- * - `closing`: every answer has left; counters are written, nothing is taken.
+ * - `finishing`: requests run to their end; new ones that can finish in time
+ *   are still accepted.
+ * - `closing`: no request runs any more and, unless the grace time ran out,
+ *   every answer has been sent; counters are written, and nothing is accepted.
  */
 export type ShutdownPhase = 'none' | 'finishing' | 'closing';
 
@@ -25,21 +27,31 @@
   readonly gate: StopGate;
   readonly clock: MonotonicClock;
   readonly logger: Logger;
-  /** Not ready from here on; answers ask to close connections. */
+  /**
+   * Called at the start: the instance reports not ready from now on, and
+   * answers ask callers to close connections.
+   */
   readonly onBegin: ShutdownStep;
-  /** The balancer has noticed: no new connections, roles handed over. */
+  /**
+   * Called when the balancer has noticed: accepts no new connections and hands
+   * over roles.
+   */
   readonly onNoNewWork: ShutdownStep;
   /** Resolves when every answer has left the process. */
   readonly whenAnswered: () => Promise<void>;
-  /** Nothing runs any more: counters written, peers told, sockets closed. */
+  /**
+   * Called when nothing runs any more: writes counters, ends the peer network
+   * and closes sockets.
+   */
   readonly onIdle: ShutdownStep;
 }
 
 /**
- * Not ready first, then the balancer's lag, since until it has noticed it goes
- * on sending new connections, and closing the listener at once would refuse
- * them. Then the listener closes, and what runs finishes. From the first moment
- * nothing starts that could not be finished by the end.
+ * Reports not ready first, then waits for the balancer's lag: until the
+ * balancer has noticed, it goes on sending new connections, which would be
+ * refused if the listener closed at once. Then the listener closes, and running
+ * requests finish or are ended when the grace time is over. From the start on,
+ * no request is started that couldn't finish by the end of the grace time.
  */
 export class Shutdown {
   private started: Promise<void> | undefined;
@@ -56,7 +68,7 @@
     return this.hasEnded ? 'closing' : 'finishing';
   }
 
-  /** Runs once, however often it is asked for. */
+  /** Starts the shutdown once; later calls return the same promise. */
   begin(): Promise<void> {
     this.started ??= this.run();
     return this.started;
@@ -69,19 +81,23 @@
     const endsAtMs = clock() + balancerLagMs + graceMs;
     gate.close(endsAtMs);
     await this.options.onBegin();
-    const graceOver = sleep(endsAtMs - clock()).then(() => this.endAll());
+    const graceOver = sleep(endsAtMs - clock()).then(() => this.abortAll());
     await sleep(balancerLagMs);
     await this.options.onNoNewWork();
     await Promise.race([this.whenServed(), graceOver]);
     await inFlight.whenNone();
     this.hasEnded = true;
-    // Nobody waits for requests any more: one that came now would be cut.
+    // The shutdown doesn't wait for requests any more: one that started now
+    // would be cut off.
     gate.close(clock());
     await this.options.onIdle();
     logger.info('shutdown_done');
   }
 
-  /** While the last answer goes out, another request may have come. */
+  /**
+   * Repeats the wait, because another request may arrive while the last answer
+   * is sent.
+   */
   private async whenServed(): Promise<void> {
     const {inFlight, whenAnswered} = this.options;
     do {
@@ -90,7 +106,7 @@
     } while (inFlight.count > 0);
   }
 
-  private endAll(): void {
+  private abortAll(): void {
     const {inFlight, logger} = this.options;
     if (this.hasEnded) return;
     logger.warn('shutdown_grace_over', {inFlight: inFlight.count});
--- a/packages/entry/src/operate/state_dump.ts
+++ b/packages/entry/src/operate/state_dump.ts
@@ -1,9 +1,9 @@
-/** The process's state for operators, part by part. */
+/** Dump of the process's state for operators. */
 
-/** Plain data without any secret. */
+/** Returns plain data without secrets. */
 export type DumpPart = () => unknown;
 
-/** Collects what each task tells of itself. */
+/** Collects the named parts of the state. */
 export class StateDump {
   private readonly parts = new Map<string, DumpPart>();
 
@@ -17,7 +17,10 @@
     this.parts.set(name, part);
   }
 
-  /** A part that fails says so and does not hide the others. */
+  /**
+   * Reads all parts. A part that throws is replaced by its error, and the
+   * others are still included.
+   */
   read(): Record<string, unknown> {
     const dump: Record<string, unknown> = {};
     for (const [name, part] of this.parts) {
--- a/packages/entry/src/operate/ticket_desk.ts
+++ b/packages/entry/src/operate/ticket_service.ts
@@ -23,7 +23,7 @@
 import type {RevisionTask} from '../configure/revision_task.js';
 import type {TableExecutor} from '../configure/table_executor.js';
 
-/** What the operator hears. */
+/** Outcome of a submitted ticket, as reported to the operator. */
 export type SubmitOutcome =
   | TicketOutcome
   | {readonly kind: 'malformed'; readonly faults: readonly Fault[]};
@@ -33,22 +33,25 @@
   | {readonly kind: 'tickets'; readonly tickets: readonly ChangeTicket[]}
   | {readonly kind: 'unavailable'; readonly reason: string};
 
-/** Options of {@link TicketDesk}. */
-export interface TicketDeskOptions {
+/** Options of {@link TicketService}. */
+export interface TicketServiceOptions {
   readonly platform: Platform;
   readonly executor: TableExecutor;
   readonly store: ConfigurationStore;
   readonly revisions: RevisionTask;
 }
 
-/** Each call is one operator's; they may race with any others. */
-export class TicketDesk {
-  private readonly underWay = new Set<Promise<SubmitOutcome>>();
+/**
+ * Each call serves one operator. Calls may run concurrently with any others, on
+ * this instance or another.
+ */
+export class TicketService {
+  private readonly inProgress = new Set<Promise<SubmitOutcome>>();
   private isClosing = false;
 
-  constructor(private readonly options: TicketDeskOptions) {}
+  constructor(private readonly options: TicketServiceOptions) {}
 
-  /** All that is wrong with a ticket, as far as this instance can tell. */
+  /** Returns all faults of a ticket that this instance can detect. */
   validate(input: unknown): readonly Fault[] {
     const checked = checkTicket(input);
     if ('faults' in checked) return checked.faults;
@@ -56,30 +59,31 @@
   }
 
   /**
-   * Accepts a ticket whole or not at all. The references are checked here
-   * against what is in force, for a good message, and in the transaction
-   * against the table, for the truth.
+   * Accepts a ticket completely or not at all. Its form, and the rules on
+   * objects that don't refer to one another, are checked here, the latter
+   * against the configuration in force. References are checked in the
+   * transaction, against the table, which is authoritative.
    */
   async submit(input: unknown): Promise<SubmitOutcome> {
     if (this.isClosing) return {kind: 'unavailable'};
     const outcome = this.accept(input);
-    this.underWay.add(outcome);
+    this.inProgress.add(outcome);
     try {
       return await outcome;
     } finally {
-      this.underWay.delete(outcome);
+      this.inProgress.delete(outcome);
     }
   }
 
   /**
-   * Takes no more tickets, and resolves when each one that is under way has its
-   * outcome: after the calls of two attempts at the most, each of which has a
-   * timeout. A process that ended before would leave the operator with a closed
-   * connection, which doesn't tell whether the ticket is in force.
+   * Accepts no more tickets, and resolves when each one in progress has its
+   * outcome: after the calls of at most two attempts, each of which has a
+   * timeout. If the process ended earlier, the operator would be left with a
+   * closed connection, which doesn't say whether the ticket is in force.
    */
   async close(): Promise<void> {
     this.isClosing = true;
-    await Promise.allSettled(this.underWay);
+    await Promise.allSettled(this.inProgress);
   }
 
   private async accept(input: unknown): Promise<SubmitOutcome> {
@@ -115,9 +119,10 @@
   }
 
   /**
-   * What concerns objects that do not refer to one another, such as one key in
-   * two accounts, is checked by what is in force here. Two tickets that race
-   * can still bring it about; such a key then opens neither account.
+   * Checks rules on objects that don't refer to one another, such as the same
+   * key in two client accounts, against the configuration in force here. Two
+   * concurrent tickets can still break such a rule; a key that is in two
+   * accounts is then valid for neither.
    */
   private checkShared(ticket: ChangeTicket): readonly Fault[] {
     const {current, revision} = this.options.store;
--- a/packages/entry/src/operate/usage_reader.ts
+++ b/packages/entry/src/operate/usage_reader.ts
@@ -1,4 +1,4 @@
-/** What operators see of usage windows. */
+/** Reads sealed usage windows for operators. */
 
 import {
   PROGRESS_KEY,
@@ -10,9 +10,9 @@
 import type {Platform} from '@snipestage/platform/platform.js';
 import type {UsageLine} from '@snipestage/types/platform_messages.js';
 
-const WINDOWS_SHOWN = 10;
+const SHOWN_WINDOW_COUNT = 10;
 
-/** One sealed window. */
+/** A sealed usage window. */
 export interface SealedWindow {
   readonly window: string;
   readonly startEpochMs: number;
@@ -40,7 +40,7 @@
   const progress = read.rows[0]?.value as ProgressValue | undefined;
   if (progress === undefined) return {kind: 'windows', windows: []};
   const starts = Array.from(
-    {length: WINDOWS_SHOWN},
+    {length: SHOWN_WINDOW_COUNT},
     (_, index) => progress.nextToSealEpochMs - (index + 1) * windowMs,
   );
   const keys = starts.map(start => sealKey(windowAt(start, windowMs)));
--- a/packages/entry/src/peers/configuration_peers.ts
+++ b/packages/entry/src/peers/configuration_peers.ts
@@ -1,4 +1,4 @@
-/** Spreads the configuration over the peer network. */
+/** Distributes the configuration over the peer network. */
 
 import {answerPeer} from '@snipestage/agreement/revisions.js';
 import type {
@@ -22,16 +22,19 @@
   | {readonly kind: 'delta'; readonly delta: ConfigurationDelta}
   | {readonly kind: 'snapshot'; readonly snapshot: ConfigurationSnapshot};
 
-/** Told every few seconds by one instance of each data centre. */
+/** Broadcast every few seconds by one instance of each data centre. */
 interface Confirmation {
   readonly revision: Revision;
   readonly ageMs: number;
 }
 
-const CONFIRMATION = 'configuration_confirmed';
+const CONFIRMATION_NAME = 'configuration_confirmed';
 const CONFIRM_EVERY_MS = 5000;
 
-/** Pushes what is new, answers who asks, asks who is newer. */
+/**
+ * Pushes new revisions, answers pulls, and pulls from peers that have newer
+ * ones.
+ */
 export class ConfigurationPeers implements RevisionPeers {
   private timer: NodeJS.Timeout | undefined;
 
@@ -50,13 +53,14 @@
   }
 
   /**
-   * Most instances do not read the table. They must still know how old their
-   * knowledge is, or accounts that are not to be served on old knowledge would
-   * be turned away everywhere but at the readers.
+   * Broadcasts confirmations periodically. Most instances don't read the table,
+   * but must still know how old their configuration is: otherwise client
+   * accounts that mustn't be served from a stale configuration would be refused
+   * everywhere except by the readers.
    */
-  startConfirming(isSpeaker: () => boolean): void {
+  startConfirming(isPublisher: () => boolean): void {
     this.timer = setInterval(() => {
-      if (isSpeaker()) this.confirm();
+      if (isPublisher()) this.publishConfirmation();
     }, CONFIRM_EVERY_MS);
   }
 
@@ -78,34 +82,34 @@
     this.options.network.send(peer, record);
   }
 
-  /** Takes in a peer's record if it concerns the configuration. */
+  /** Handles a peer's record if it concerns the configuration. */
   receive(record: PeerRecord, from: InstanceId): void {
     if (record.kind === 'configuration_pull') {
       this.answer(from, record.aboveRevision);
     }
-    if (record.kind === 'configuration') this.take(record.payload, from);
-    if (record.kind === 'extension' && record.name === CONFIRMATION) {
-      this.takeConfirmation(record.json, from);
+    if (record.kind === 'configuration') this.apply(record.payload, from);
+    if (record.kind === 'extension' && record.name === CONFIRMATION_NAME) {
+      this.handleConfirmation(record.json, from);
     }
   }
 
-  private confirm(): void {
+  private publishConfirmation(): void {
     const {revisions, network, clock} = this.options;
     const {confirmedAtMs, snapshot} = revisions.current;
     if (confirmedAtMs === undefined) return;
     const ageMs = Math.round(clock() - confirmedAtMs);
-    const told: Confirmation = {revision: snapshot.revision, ageMs};
-    const json = Buffer.from(JSON.stringify(told));
-    network.broadcast({kind: 'extension', name: CONFIRMATION, json});
+    const confirmation: Confirmation = {revision: snapshot.revision, ageMs};
+    const json = Buffer.from(JSON.stringify(confirmation));
+    network.broadcast({kind: 'extension', name: CONFIRMATION_NAME, json});
   }
 
-  private takeConfirmation(json: Buffer, peer: InstanceId): void {
-    const told = JSON.parse(json.toString('utf8')) as Confirmation;
+  private handleConfirmation(json: Buffer, peer: InstanceId): void {
+    const confirmation = JSON.parse(json.toString('utf8')) as Confirmation;
     this.options.revisions.handle({
       kind: 'peer_revision',
       peer,
-      revision: told.revision,
-      confirmedAgeMs: told.ageMs,
+      revision: confirmation.revision,
+      confirmedAgeMs: confirmation.ageMs,
       nowMs: this.options.clock(),
     });
   }
@@ -121,15 +125,15 @@
     network.send(peer, record);
   }
 
-  private take(payload: Buffer, peer: InstanceId): void {
+  private apply(payload: Buffer, peer: InstanceId): void {
     const {revisions, clock} = this.options;
     const nowMs = clock();
-    const told = JSON.parse(payload.toString('utf8')) as Payload;
-    if (told.kind === 'delta') {
-      const {delta} = told;
+    const parsed = JSON.parse(payload.toString('utf8')) as Payload;
+    if (parsed.kind === 'delta') {
+      const {delta} = parsed;
       revisions.handle({kind: 'peer_delta', peer, delta, nowMs});
     } else {
-      const {snapshot} = told;
+      const {snapshot} = parsed;
       revisions.handle({kind: 'peer_snapshot', snapshot, nowMs});
     }
   }
--- a/packages/entry/src/peers/endpoint_records.ts
+++ b/packages/entry/src/peers/endpoint_records.ts
@@ -1,4 +1,4 @@
-/** Tells other instances of endpoints and of the demand for them. */
+/** Peer records for endpoints and the demand for them. */
 
 import type {PeerRecord} from '@snipestage/peer/records.js';
 import type {Demand} from '../endpoints/demand.js';
@@ -23,8 +23,8 @@
 }
 
 /**
- * Told by the planner of a data centre with each plan, which also makes it
- * known as the planner.
+ * The record that the planner of a data centre broadcasts with each plan. It
+ * also announces the sender as the planner.
  *
  * @example
  * network.broadcast(toDrainRecord(drains));
@@ -42,7 +42,7 @@
 }
 
 /**
- * Takes in what others tell.
+ * Handles the records of other instances.
  *
  * @example
  * connectEndpoints(peerTask, directory, demandTask);
@@ -58,10 +58,10 @@
   peers.onExtension(DRAINS, (json, from) => {
     const drains = parse<DrainList>(json);
     directory.setDrains(drains);
-    demand.noteHolder(drains.dataCentre, from);
+    demand.setHolder(drains.dataCentre, from);
   });
   peers.onExtension(DEMAND, (json, from) => {
-    demand.take(from, parse<Demand>(json));
+    demand.receive(from, parse<Demand>(json));
   });
 }
 
--- a/packages/entry/src/peers/peer_cluster_view.ts
+++ b/packages/entry/src/peers/peer_cluster_view.ts
@@ -1,10 +1,10 @@
-/** Membership as the peer network knows it. */
+/** Membership as known to the peer network. */
 
 import type {PeerNetwork} from '@snipestage/peer/peer_network.js';
 import type {Member} from '@snipestage/types/member.js';
 import {ClusterView, type ClusterListener} from '../choose/cluster_view.js';
 
-/** Suspected members count until they are held dead. */
+/** Includes suspected members until they are declared dead. */
 export class PeerClusterView extends ClusterView {
   constructor(private readonly network: PeerNetwork) {
     super();
--- a/packages/entry/src/peers/peer_task.ts
+++ b/packages/entry/src/peers/peer_task.ts
@@ -14,7 +14,7 @@
 const READERS_PER_DATA_CENTRE = 2;
 const SEED_EVERY_MS = 5000;
 
-/** Takes records of a kind that a task has brought in. */
+/** Handles the records of an extension. */
 export type ExtensionHandler = (json: Buffer, from: InstanceId) => void;
 
 /** Options of {@link PeerTask}. */
@@ -27,7 +27,7 @@
   readonly logger: Logger;
 }
 
-/** Hands each record to the task that it concerns. */
+/** Dispatches each peer record to the part that handles it. */
 export class PeerTask {
   private readonly extensions = new Map<string, ExtensionHandler>();
   private seedTimer: NodeJS.Timeout | undefined;
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Registers who takes records of an extension.
+   * Registers the handler of an extension's records.
    *
    * @example
    * peers.onExtension('suspects', (json, from) => suspects.take(json));
@@ -53,12 +53,12 @@
     this.seedTimer = setInterval(() => void this.seed(), SEED_EVERY_MS);
   }
 
-  /** Tells the others to send nothing new here. */
+  /** Announces that this instance is leaving, so that it gets nothing new. */
   leave(): void {
     this.options.network.leave();
   }
 
-  /** Resolves when what was queued has gone out. */
+  /** Resolves when queued records have been sent. */
   async stop(): Promise<void> {
     clearInterval(this.seedTimer);
     this.options.configuration.stop();
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Whether this instance reads the table for its data centre. Were all to do
-   * so, 380 instances would take a fifth of what the table can give.
+   * Whether this instance reads the table for its data centre. If all did, 380
+   * instances would use a fifth of the table's capacity.
    */
   shouldReadTable(): boolean {
     return this.rank() < READERS_PER_DATA_CENTRE;
@@ -78,7 +78,7 @@
     const {dataCentre, id} = view.self;
     const instances = instancesIn(view.live(), dataCentre);
     const rank = rankByRendezvous(`read/${dataCentre}`, instances).indexOf(id);
-    // One that is leaving is not ranked; it follows the others.
+    // A leaving instance isn't ranked; it gets changes from the others.
     return rank < 0 ? Number.POSITIVE_INFINITY : rank;
   }
 
@@ -94,8 +94,8 @@
     try {
       this.dispatch(record, from);
     } catch (error) {
-      // A peer of another version may send what can't be read here; that must
-      // not end the process.
+      // A peer of another version may send records that can't be read here;
+      // they must not end the process.
       const {logger} = this.options;
       logger.warn('peer_record_unreadable', {
         from,
--- a/packages/entry/src/peers/permit_records.ts
+++ b/packages/entry/src/peers/permit_records.ts
@@ -1,4 +1,4 @@
-/** Turns permit records into peer records and back. */
+/** Converts permit records to peer records and back. */
 
 import type {CellInput} from '@snipestage/policy/cell_messages.js';
 import type {PeerRecord} from '@snipestage/peer/records.js';
@@ -8,14 +8,14 @@
 const PERMIT_EXTENSION = 'permit';
 
 /**
- * The peer record for a permit record. Frequent ones have a compact form of
- * their own.
+ * Returns the peer record for a permit record. Frequent ones have a compact
+ * form of their own.
  *
  * @example
  * network.send(owner, toPeerRecord(record));
  */
 export function toPeerRecord(record: PermitRecord): PeerRecord {
-  if (record.kind === 'to_client') return extend(record);
+  if (record.kind === 'to_client') return toExtension(record);
   const {cell, input} = record;
   switch (input.kind) {
     case 'ask':
@@ -25,15 +25,16 @@
     case 'release':
       return {kind: 'release', release: input.release};
     default:
-      // Progress and what is in use too: their compact forms lack the times
-      // and marks by which an owner learns limits and knows suspects.
-      return extend(record);
+      // Includes `progress` and `in_use`: their compact forms lack the times
+      // and marks from which an owner learns limits and recognizes suspects.
+      return toExtension(record);
   }
 }
 
 /**
- * The permit record in a peer record; `undefined` when it is something else.
- * What an instance says of itself counts only for the instance that sent it.
+ * Returns the permit record in a peer record; `undefined` if it is something
+ * else. The instance in the record is replaced by the sender, so that no
+ * instance can report for another.
  *
  * @example
  * const permit = fromPeerRecord(record, from.id);
@@ -58,7 +59,7 @@
       });
     case 'extension':
       return record.name === PERMIT_EXTENSION
-        ? unextend(record.json, from)
+        ? fromExtension(record.json, from)
         : undefined;
     default:
       return undefined;
@@ -69,12 +70,12 @@
   return {kind: 'to_owner', cell, input};
 }
 
-function extend(record: PermitRecord): PeerRecord {
+function toExtension(record: PermitRecord): PeerRecord {
   const json = Buffer.from(JSON.stringify(record));
   return {kind: 'extension', name: PERMIT_EXTENSION, json};
 }
 
-function unextend(json: Buffer, from: InstanceId): PermitRecord {
+function fromExtension(json: Buffer, from: InstanceId): PermitRecord {
   const record = JSON.parse(json.toString('utf8')) as PermitRecord;
   if (record.kind === 'to_client') return record;
   const input = {...record.input, instance: from} as CellInput;
--- a/packages/entry/src/peers/suspect_records.ts
+++ b/packages/entry/src/peers/suspect_records.ts
@@ -1,10 +1,10 @@
-/** Tells other instances of requests that were in flight at a crash. */
+/** Peer records for requests that were in flight at a crash. */
 
 import type {PeerNetwork} from '@snipestage/peer/peer_network.js';
 import type {PeerRecord} from '@snipestage/peer/records.js';
 import type {ReportedCrash} from '@snipestage/policy/suspects.js';
 import type {SuspectGuard} from '../choose/suspect_guard.js';
-import type {SuspectTrials, TrialNews} from '../choose/suspect_trials.js';
+import type {SuspectTrials, TrialUpdate} from '../choose/suspect_trials.js';
 import type {PeerTask} from './peer_task.js';
 
 const CRASHES = 'crashes';
@@ -24,15 +24,15 @@
  * @example
  * network.broadcast(toTrialRecord({fingerprint, running: true}));
  */
-export function toTrialRecord(news: TrialNews): PeerRecord {
-  const json = Buffer.from(JSON.stringify(news));
+export function toTrialRecord(update: TrialUpdate): PeerRecord {
+  const json = Buffer.from(JSON.stringify(update));
   return {kind: 'extension', name: TRIAL, json};
 }
 
 /**
- * Takes in what others tell, and asks the first instance met for all that it
- * knows: a caller sends a request again to whichever instance the balancer
- * picks, also to one that has just started.
+ * Handles the records of other instances, and requests all known crashes from
+ * the first instance found: a caller repeats a request to whichever instance
+ * the balancer picks, also to one that has just started.
  *
  * @example
  * connectSuspects(peerTask, network, guard, trials);
@@ -44,20 +44,20 @@
   trials: SuspectTrials,
 ): void {
   peers.onExtension(TRIAL, (json, from) => {
-    trials.take(JSON.parse(json.toString('utf8')) as TrialNews, from);
+    trials.mergeUpdate(JSON.parse(json.toString('utf8')) as TrialUpdate, from);
   });
   peers.onExtension(CRASHES, json => {
-    guard.take(JSON.parse(json.toString('utf8')) as ReportedCrash[]);
+    guard.mergeCrashes(JSON.parse(json.toString('utf8')) as ReportedCrash[]);
   });
   peers.onExtension(CRASHES_WANTED, (json, from) => {
     network.send(from, toSuspectRecord(guard.readAll()));
   });
-  let hasAsked = false;
+  let hasRequested = false;
   network.onMembersChanged(() => {
     const other = network.members().find(({id}) => id !== network.self().id);
-    if (hasAsked || other === undefined) return;
+    if (hasRequested || other === undefined) return;
     const json = Buffer.from('{}');
     const record = {kind: 'extension', name: CRASHES_WANTED, json} as const;
-    hasAsked = network.send(other.id, record);
+    hasRequested = network.send(other.id, record);
   });
 }
--- a/packages/entry/src/peers/usage_records.ts
+++ b/packages/entry/src/peers/usage_records.ts
@@ -1,4 +1,4 @@
-/** Brings copies of usage counters to a peer that keeps them. */
+/** Peer records for copies of usage counters. */
 
 import type {PeerNetwork} from '@snipestage/peer/peer_network.js';
 import type {PeerRecord} from '@snipestage/peer/records.js';
@@ -12,13 +12,14 @@
 const COPIES = 'usage_copies';
 
 /**
- * The peer that keeps this instance's counters: one of its own data centre if
- * there is one, always the same while it lives.
+ * Returns the peer that holds copies of this instance's counters: one of its
+ * own data centre if there is one. Rendezvous hashing keeps the choice stable;
+ * it changes only when that peer leaves or a preferred one joins.
  *
  * @example
- * const keeper = findUsageKeeper(view);
+ * const replica = findUsageReplica(view);
  */
-export function findUsageKeeper(view: ClusterView): InstanceId | undefined {
+export function findUsageReplica(view: ClusterView): InstanceId | undefined {
   const {id, dataCentre} = view.self;
   const others = view.live().filter(member => member.id !== id);
   const near = instancesIn(others, dataCentre);
@@ -28,7 +29,7 @@
 
 /**
  * @example
- * network.send(keeper, toUsageRecord(changes));
+ * network.send(replica, toUsageRecord(changes));
  */
 export function toUsageRecord(changes: readonly UsageCopyChange[]): PeerRecord {
   const json = Buffer.from(JSON.stringify(changes));
@@ -36,7 +37,7 @@
 }
 
 /**
- * Keeps what others send.
+ * Stores the copies that other instances send.
  *
  * @example
  * connectUsageCopies(peerTask, network, copies);
@@ -49,7 +50,7 @@
   peers.onExtension(COPIES, (json, from) => {
     const sender = network.members().find(member => member.id === from);
     if (sender === undefined) return;
-    const told = JSON.parse(json.toString('utf8')) as UsageCopyChange[];
-    copies.take(sender.incarnation, told);
+    const changes = JSON.parse(json.toString('utf8')) as UsageCopyChange[];
+    copies.mergeChanges(sender.incarnation, changes);
   });
 }
