--- a/packages/configuration/src/configuration.test.ts
+++ b/packages/configuration/src/configuration.test.ts
@@ -21,7 +21,7 @@
   return applyChanges(emptyConfiguration(), changes, brandAs<Revision>(1));
 }
 
-const WORLD = [
+const BASE_CHANGES = [
   changeTo('data_centre', {id: 'akl-a', region: 'nz-north'}),
   changeTo('model', {id: 'repair', typicalOutputTokens: 100}),
   changeTo('request_class', {
@@ -50,8 +50,8 @@
   }),
 ];
 
-test('changes make a new configuration and leave the old one as it was', t => {
-  const before = apply(...WORLD);
+test('applying changes leaves the given configuration unmodified', t => {
+  const before = apply(...BASE_CHANGES);
   const after = applyChanges(
     before,
     [removal('endpoint', 'akl-a-1')],
@@ -62,8 +62,8 @@
   t.is(after.revision, 2 as Revision);
 });
 
-test('a configuration comes back from JSON as it was; a damaged one does not', t => {
-  const configuration = apply(...WORLD);
+test('a configuration survives a JSON round trip; a damaged one is rejected', t => {
+  const configuration = apply(...BASE_CHANGES);
   const text = JSON.stringify(toJson(configuration));
   t.deepEqual(fromJson(JSON.parse(text)), configuration);
   t.throws(() => fromJson({...JSON.parse(text), models: [{id: 'repair'}]}), {
@@ -71,11 +71,11 @@
   });
 });
 
-test('removing what is still referred to is a fault that names both', t => {
-  t.deepEqual(checkReferences(apply(...WORLD)), []);
+test('removing an object that is referred to is a fault that names both', t => {
+  t.deepEqual(checkReferences(apply(...BASE_CHANGES)), []);
   const faults = checkReferences(
     apply(
-      ...WORLD,
+      ...BASE_CHANGES,
       removal('model', 'repair'),
       removal('data_centre', 'akl-a'),
       removal('request_class', 'counter'),
@@ -105,8 +105,8 @@
   t.is(shares(0.2, 0.2, 0.2).length, 1);
 });
 
-// Two operators at once give one key to two accounts. Calls with it would run
-// for one customer at this instance and for another at the next.
+// Two operators concurrently give the same key to two accounts. Instances could
+// then run calls with that key for different customers.
 test('one key in two accounts is a fault and opens neither', t => {
   const account = {requestClasses: [], keyHashes: [hashKey(KEY)]};
   const configuration = apply(
@@ -122,9 +122,15 @@
 });
 
 test('a key finds its account until it is withdrawn', t => {
-  t.is(new KeyIndex(apply(...WORLD)).find(KEY)?.id as string, 'gear-menders');
-  t.is(new KeyIndex(apply(...WORLD)).find(`${KEY}x`), undefined);
-  const withdrawn = apply(...WORLD, removal('client_account', 'gear-menders'));
+  t.is(
+    new KeyIndex(apply(...BASE_CHANGES)).find(KEY)?.id as string,
+    'gear-menders',
+  );
+  t.is(new KeyIndex(apply(...BASE_CHANGES)).find(`${KEY}x`), undefined);
+  const withdrawn = apply(
+    ...BASE_CHANGES,
+    removal('client_account', 'gear-menders'),
+  );
   t.is(new KeyIndex(withdrawn).findByHash(hashKey(KEY)), undefined);
 });
 
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -1,4 +1,4 @@
-/** Assembles the configuration that accepted tickets lead to. */
+/** Assembles the configuration that results from accepted tickets. */
 
 import type {
   ClientAccount,
@@ -16,7 +16,7 @@
 
 type CollectionName = Exclude<keyof Configuration, 'revision'>;
 
-/** Where a configuration keeps the objects of each kind. */
+/** The field of a configuration that holds the objects of each kind. */
 export const COLLECTION_OF_KIND: Readonly<Record<ObjectKind, CollectionName>> =
   {
     data_centre: 'dataCentres',
@@ -48,7 +48,7 @@
 }
 
 /**
- * The configuration after the changes; the one given is left as it is.
+ * Returns the configuration after the changes; the given one is not modified.
  *
  * @example
  * const next = applyChanges(configuration, ticket.changes, revision);
--- a/packages/configuration/src/configuration_json.ts
+++ b/packages/configuration/src/configuration_json.ts
@@ -1,4 +1,4 @@
-/** A whole configuration as JSON, as instances hand it to each other. */
+/** A whole configuration as JSON, as instances send it to each other. */
 
 import {InputError} from '@snipestage/errors/request_error.js';
 import {toFaults} from '@snipestage/errors/schema_faults.js';
@@ -17,11 +17,11 @@
   endpointPools: z.array(objectSchemas.endpoint_pool),
 });
 
-/** Plain data, fit for `JSON.stringify`. */
+/** A configuration as plain data for `JSON.stringify`. */
 export type ConfigurationJson = z.input<typeof configurationSchema>;
 
 /**
- * Writes out a configuration.
+ * Converts a configuration to plain data.
  *
  * @example
  * const text = JSON.stringify(toJson(configuration));
@@ -36,10 +36,10 @@
 }
 
 /**
- * Reads a configuration that another instance wrote out.
+ * Parses the plain data of a configuration, such as another instance sent.
  *
- * @throws InputError when it isn't one; a damaged configuration must not come
- *     into force.
+ * @throws InputError when the input is not a valid configuration; a damaged one
+ *     must not come into force.
  * @example
  * const configuration = fromJson(JSON.parse(text));
  */
--- a/packages/configuration/src/key_hash.ts
+++ b/packages/configuration/src/key_hash.ts
@@ -8,12 +8,12 @@
 import {type KeyHash, brandAs} from '@snipestage/types/ids.js';
 
 const PREFIX = 'sha256:';
-const KEY_BYTES = 32;
+const KEY_LENGTH_BYTES = 32;
 
 /**
- * Hashes a key for storing. There is no salt and no slow hash: keys are 256
- * random bits, so that neither a table of hashes made beforehand nor guessing
- * finds one, and the hash must be cheap since every request pays for it.
+ * Hashes a key for storage, without a salt and with a fast hash: keys are 256
+ * random bits, so that neither a precomputed table nor guessing finds one, and
+ * the hash must be cheap, since it is computed for every request.
  *
  * @example
  * hashKey('sk-…'); // 'sha256:5e88…'
@@ -24,8 +24,8 @@
 }
 
 /**
- * Whether the key is the one behind the hash, in a time that does not depend
- * on where they differ.
+ * Whether the key has this hash; compares in a time that does not depend on
+ * where the hashes differ.
  *
  * @example
  * keyMatches(bearerToken, settings.admin.operatorKeyHashes[0]);
@@ -35,29 +35,29 @@
 }
 
 /**
- * A new random key.
+ * Generates a random key.
  *
  * @example
  * const key = generateKey(); // 'sk-' and 43 characters
  */
 export function generateKey(): string {
-  return `sk-${randomBytes(KEY_BYTES).toString('base64url')}`;
+  return `sk-${randomBytes(KEY_LENGTH_BYTES).toString('base64url')}`;
 }
 
-/** `undefined` stands for a key that more than one account claims. */
+/** `account` is undefined if more than one account has the key. */
 interface KeyOwner {
   readonly hash: KeyHash;
   readonly account: ClientAccount | undefined;
 }
 
 /**
- * Finds the client account of a key; built anew for each configuration, so
- * that a withdrawn key is gone with the revision that withdrew it.
+ * Finds the client account of a key. It is rebuilt for each configuration, so
+ * that a withdrawn key stops working with the revision that withdrew it.
  *
- * A key in two accounts is nobody's: instances could otherwise pick different
- * ones, and a request would run for an account, and on a bill, that is not the
- * caller's. `checkReferences` refuses such a ticket; two racing tickets can
- * still bring it about.
+ * A key in two accounts matches neither: otherwise instances could pick
+ * different accounts, and a request would run for, and be billed to, an account
+ * that is not the caller's. `checkReferences` reports such a key, so that its
+ * ticket is refused, but two concurrent tickets can still produce one.
  */
 export class KeyIndex {
   private readonly owners = new Map<KeyHash, KeyOwner>();
@@ -72,9 +72,9 @@
   }
 
   /**
-   * The account whose key it is. The lookup goes by the hash of the key, of
-   * which a caller can't choose the start, so that the time it takes tells
-   * nothing of the stored ones; the match itself is compared in constant time.
+   * Returns the account of a key. The lookup uses the hash of the key, whose
+   * start a caller can't choose, so that its timing reveals nothing about the
+   * stored hashes; the match itself is compared in constant time.
    *
    * @example
    * const account = index.find(bearerToken);
@@ -84,8 +84,8 @@
   }
 
   /**
-   * The account of an already hashed key, to ask again whether the key of a
-   * queued or running request still holds.
+   * Returns the account of a hashed key, to check again whether the key of a
+   * queued or running request is still valid.
    *
    * @example
    * if (index.findByHash(request.keyHash) === undefined) stop(request);
--- a/packages/configuration/src/object_schemas.ts
+++ b/packages/configuration/src/object_schemas.ts
@@ -8,19 +8,19 @@
 } from '@snipestage/settings/field_schemas.js';
 import {z} from 'zod';
 
-const LOWEST_TIER = 99;
+const MAX_TIER = 99;
 const MAX_GUARANTEED_SHARE = 0.2;
-const LONGEST_ID = 128;
+const MAX_ID_LENGTH = 128;
 const HTTP_METHOD = /^(\*|[A-Z]+)$/;
 
-/** Id of an object; `/` is left out since object paths are split at it. */
+/** Id of an object; without `/`, which separates the parts of object paths. */
 const id = z
   .string()
   .regex(
     /^[a-z0-9][a-z0-9._-]*$/,
     'must be lower-case letters, digits, dots, underscores and hyphens',
   )
-  .max(LONGEST_ID);
+  .max(MAX_ID_LENGTH);
 const poolId = z
   .string()
   .regex(/^[^/]+\/[^/]+$/, 'must be `<data centre>/<model>`');
@@ -36,7 +36,7 @@
 
 const requestClass = z.strictObject({
   id,
-  tier: z.int().min(0).max(LOWEST_TIER),
+  tier: z.int().min(0).max(MAX_TIER),
   firstTokenTargetMs: durationMsSchema,
   betweenTokensTargetMs: durationMsSchema,
   deadlineMs: durationMsSchema,
@@ -137,14 +137,21 @@
 } as const;
 
 /**
- * Host names are refused: a name that resolves elsewhere later would send
- * requests to a machine that no ticket named.
+ * Whether the text is a plain `http` URL of an IP address. Host names are
+ * refused: if one resolved differently later, requests would be sent to a
+ * machine that no ticket named.
  */
 function isBaseUrl(text: string): boolean {
   if (!URL.canParse(text)) return false;
   const url = new URL(text);
   const host = url.hostname.replace(/^\[|\]$/g, '');
-  const bare = url.pathname === '/' && url.search === '' && url.hash === '';
-  const anonymous = url.username === '' && url.password === '';
-  return url.protocol === 'http:' && isIP(host) !== 0 && bare && anonymous;
+  const hasOnlyOrigin =
+    url.pathname === '/' && url.search === '' && url.hash === '';
+  const hasNoCredentials = url.username === '' && url.password === '';
+  return (
+    url.protocol === 'http:' &&
+    isIP(host) !== 0 &&
+    hasOnlyOrigin &&
+    hasNoCredentials
+  );
 }
--- a/packages/configuration/src/references.ts
+++ b/packages/configuration/src/references.ts
@@ -1,4 +1,4 @@
-/** Finds objects that refer to what isn't there or can't hold together. */
+/** Finds references to missing objects, and objects that conflict. */
 
 import type {Fault} from '@snipestage/errors/request_error.js';
 import type {
@@ -9,13 +9,13 @@
 } from '@snipestage/types/configuration.js';
 import {COLLECTION_OF_KIND} from './configuration.js';
 
-/** The rest of a cell's dispatches goes by tier alone. */
+/** The rest of a cell's dispatches is assigned by tier alone. */
 export const MAX_SUM_OF_GUARANTEED_SHARES = 0.5;
 
 /** Absorbs the rounding of sums such as 0.1 + 0.2 + 0.2. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** One object naming another. */
+/** A reference from one object to another. */
 interface Reference {
   readonly from: ObjectPath;
   readonly field: string;
@@ -24,9 +24,9 @@
 }
 
 /**
- * Checks what the objects of a configuration say of each other; an object
- * that is still referred to can't have been removed. Fault paths read
- * `<kind>/<id>.<field>`.
+ * Checks the references between the objects of a configuration and the rules
+ * that span objects; removing an object that is still referred to is a fault.
+ * Fault paths have the form `<kind>/<id>.<field>`.
  *
  * @example
  * const faults = checkReferences(applyChanges(current, changes, revision));
@@ -41,8 +41,9 @@
 }
 
 /**
- * Checks what objects share: keys, and the dispatches that are guaranteed. A
- * ticket that breaks one of these by itself breaks it in any configuration.
+ * Checks the rules that span objects: no two accounts share a key, and the
+ * guaranteed shares of dispatches have an upper limit. A ticket that breaks one
+ * of these rules by itself breaks it in every configuration.
  *
  * @example
  * const faults = checkSharedRules(configuration);
@@ -115,8 +116,8 @@
 }
 
 /**
- * With one key in two accounts a request would run for whichever was found
- * first; the other customer would see a bill or a refusal not its own.
+ * With one key in two accounts, a request would run for whichever account was
+ * found first; one customer would get a bill or a refusal meant for the other.
  */
 function checkSharedKeys(configuration: Configuration): Fault[] {
   const faults: Fault[] = [];
@@ -140,7 +141,7 @@
 function checkGuaranteedShares(configuration: Configuration): Fault[] {
   const classes = [...configuration.requestClasses.values()];
   const sum = classes.reduce((total, each) => total + each.guaranteedShare, 0);
-  if (sum <= MAX_SUM_OF_GUARANTEED_SHARES + ROUNDING) return [];
+  if (sum <= MAX_SUM_OF_GUARANTEED_SHARES + ROUNDING_TOLERANCE) return [];
   const names = classes
     .filter(each => each.guaranteedShare > 0)
     .map(each => each.id);
--- a/packages/configuration/src/ticket_schema.test.ts
+++ b/packages/configuration/src/ticket_schema.test.ts
@@ -51,7 +51,7 @@
   return 'faults' in checked ? checked.faults.map(fault => fault.path) : [];
 }
 
-test('a ticket with an object of each kind and a removal is taken as it is', t => {
+test('a ticket with an object of each kind and a removal is accepted', t => {
   const ticket = ticketOf(
     change('data_centre', {id: 'akl-a', region: 'nz-north'}),
     change('request_class', CLASS),
@@ -65,7 +65,7 @@
   t.deepEqual(checkTicket(ticket), {ticket} as never);
 });
 
-test('faults of all changes are told together, each with its path', t => {
+test('faults of all changes are reported together, each with its path', t => {
   const paths = pathsOf({
     ...ticketOf(
       change('request_class', {...CLASS, tier: 100, guaranteedShare: 0.3}),
@@ -91,7 +91,7 @@
   ]);
 });
 
-test('what can hold in no configuration is a fault of the ticket', t => {
+test('breaking a shared rule within one ticket is a fault of the ticket', t => {
   const shares = ['a', 'b', 'c'].map(id =>
     change('request_class', {...CLASS, id, guaranteedShare: 0.2}),
   );
@@ -117,7 +117,7 @@
   });
 }
 
-test('what is no ticket at all is told so', t => {
+test('input that is not a ticket is reported with the path of the fault', t => {
   t.deepEqual(pathsOf('ticket'), ['']);
   t.deepEqual(pathsOf(ticketOf()), ['changes']);
   t.deepEqual(pathsOf(ticketOf({kind: 'modle', id: 'x', state: null})), [
--- a/packages/configuration/src/ticket_schema.ts
+++ b/packages/configuration/src/ticket_schema.ts
@@ -1,4 +1,4 @@
-/** Checks change tickets and tells all their faults together. */
+/** Checks change tickets and reports all their faults together. */
 
 import type {Fault} from '@snipestage/errors/request_error.js';
 import {pathOf, toFaults} from '@snipestage/errors/schema_faults.js';
@@ -13,7 +13,7 @@
 import {idSchemas, objectSchemas} from './object_schemas.js';
 import {checkSharedRules} from './references.js';
 
-const LONGEST_TEXT = 1000;
+const MAX_TEXT_LENGTH = 1000;
 const NO_REVISION = brandAs<Revision>(0);
 
 function changeOf<Kind extends ObjectKind>(kind: Kind) {
@@ -34,7 +34,7 @@
   changeOf('endpoint_pool'),
 ]);
 
-const text = z.string().trim().min(1).max(LONGEST_TEXT);
+const text = z.string().trim().min(1).max(MAX_TEXT_LENGTH);
 
 /** The schema of a change ticket; unknown fields are faults. */
 export const ticketSchema = z.strictObject({
@@ -44,17 +44,17 @@
   changes: z.array(change).min(1, 'must have at least one change'),
 });
 
-/** As much of a change as the rules on ids need; the rest may be wrong. */
+/** The fields that the rules on ids need; all other fields may be invalid. */
 const namedObject = z.object({kind: z.string(), id: z.string()});
 const stateWithId = z.object({state: z.object({id: z.string()})});
 
-/** A ticket, or everything that is wrong with it. */
+/** A valid ticket, or all faults of an invalid one. */
 export type CheckedTicket =
   {readonly ticket: ChangeTicket} | {readonly faults: readonly Fault[]};
 
 /**
- * Checks a ticket by itself. What it refers to is checked against the
- * configuration, see `checkReferences`.
+ * Checks a ticket by itself. Its references to other objects are checked
+ * against the configuration, see `checkReferences`.
  *
  * @example
  * const checked = checkTicket(JSON.parse(body));
@@ -72,7 +72,7 @@
   return faults.length > 0 ? {faults} : {ticket};
 }
 
-/** Paths of objects become paths in the ticket. */
+/** Checks the rules that span objects; maps fault paths to the ticket. */
 function findSharedFaults({changes}: ChangeTicket): Fault[] {
   const objects = applyChanges(emptyConfiguration(), changes, NO_REVISION);
   return checkSharedRules(objects).map(({path, message}) => ({
@@ -83,7 +83,8 @@
 
 function ticketPathOf(path: string, changes: readonly ObjectChange[]): string {
   const prefixes = changes.map(({kind, id}) => `${kind}/${id}`);
-  // Ids may have dots in them, so that one can look like another's field.
+  // Ids may contain dots, so that several prefixes can match; the longest is the
+  // right one.
   const [prefix] = prefixes
     .filter(each => path.startsWith(`${each}.`))
     .sort((left, right) => right.length - left.length);
@@ -93,9 +94,9 @@
 }
 
 /**
- * Judged on the raw input, since the schema leaves off rules on a whole ticket
- * once one field of it is wrong, and the operator would be told of these
- * faults only after mending the others.
+ * Checks the ids in the raw input: the schema skips rules on a whole ticket if
+ * one of its fields is invalid, and the operator would see these faults only
+ * after fixing the others.
  */
 function findIdFaults(input: unknown): Fault[] {
   const ticket = z.object({changes: z.array(z.unknown())}).safeParse(input);
--- a/packages/connection/src/fresh_connection.test.ts
+++ b/packages/connection/src/fresh_connection.test.ts
@@ -59,8 +59,8 @@
 
 test('a send forbidden at the last moment has not run', async t => {
   // A lease ends between the opening of the connection and the send. Without
-  // the guard the platform would get an order from a process that is no longer
-  // in charge.
+  // the guard, the platform would get an order from a process that no longer
+  // holds the lease.
   const {port, hits, server} = await startServer();
   const connection = await openOrFail(port, () => false);
   t.not(await get(connection), 200);
@@ -70,16 +70,16 @@
   server.close();
 });
 
-test('nobody listening means that nothing has run', async t => {
+test('connecting to a closed port fails', async t => {
   const {port, server} = await startServer();
   await new Promise(resolve => server.close(resolve));
   const connection = await FreshConnection.open({host: '127.0.0.1', port});
   t.is(connection.kind, 'failed');
 });
 
-test('a reset while the connection shuts down leaves nothing behind', async t => {
-  // Both ends close at about the same time and the reset comes in between. The
-  // handle would stay open and keep a whole processor busy from then on, while
+test('a reset while the connection shuts down closes its handle', async t => {
+  // Both ends close at about the same time, and the reset falls in between. A
+  // handle that stays open would keep a CPU core busy from then on, while
   // requests still seem to be served.
   const server = net.createServer(socket => socket.end('bye'));
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
--- a/packages/connection/src/fresh_connection.ts
+++ b/packages/connection/src/fresh_connection.ts
@@ -1,44 +1,50 @@
 /**
- * A connection opened for one request.
+ * A TCP connection that is opened for a single request.
  *
- * A pooled connection may have gone silent for good, because something between
- * the two ends has lost track of it: the request's bytes vanish, the sender
- * can't tell whether they arrived, and a request that must not be repeated is
- * lost with an unknown outcome. A new connection shows by its handshake that
- * the way is open. That costs one round trip.
+ * A pooled connection may be dead without notice, because a device between the
+ * two ends has dropped its state: the bytes of the request are lost, the sender
+ * can't tell whether they arrived, and a request that must not be repeated ends
+ * with an unknown outcome. The handshake of a new connection proves that the
+ * endpoint can be reached, at the cost of one round trip.
  */
 
 import net from 'node:net';
 import type {Verdict} from '@snipestage/types/verdict.js';
 
 const DEFAULT_CONNECT_TIMEOUT_MS = 1000;
-const CONNECT_TIMEOUT = 'connect timeout';
+const CONNECT_TIMEOUT_REASON = 'connect timeout';
 
-/** How a connection is opened and guarded. */
+/** Options of {@link FreshConnection.open}. */
 export interface FreshConnectionOptions {
   readonly host: string;
   readonly port: number;
   readonly connectTimeoutMs?: number;
-  /** Asked each time bytes are about to be handed over; false resets. */
+  /**
+   * Called before each write to the socket; if it returns false, nothing is
+   * written and the connection is reset.
+   */
   readonly mayStillSend?: () => boolean;
-  /** Resets the connection, so that the kernel delivers nothing more. */
+  /**
+   * Resets the connection when aborted, so that the kernel discards what it has
+   * not delivered.
+   */
   readonly signal?: AbortSignal;
 }
 
-/** Why no connection came about; nothing was sent. */
+/** Why no connection was established; nothing was sent. */
 export type ConnectFailure = {
   readonly kind: 'failed';
   readonly reason: string;
-  /** Nothing came back in time, rather than a refusal. */
+  /** True if the handshake timed out, rather than being refused. */
   readonly timedOut: boolean;
 };
 
 /**
- * An open connection. Hand {@link createConnection} to `got` or `node:http`.
+ * An open connection. Pass {@link createConnection} to `got` or `node:http`.
  */
 export class FreshConnection {
   readonly kind = 'open';
-  private bytesHandedOver = false;
+  private hasWrittenBytes = false;
   private sendForbidden = false;
 
   private constructor(
@@ -49,7 +55,7 @@
   }
 
   /**
-   * Opens a connection; waits for the handshake.
+   * Opens a connection and waits for the handshake.
    *
    * @example
    * const connection = await FreshConnection.open({host, port});
@@ -76,26 +82,26 @@
     );
     if (failure !== undefined) {
       socket.destroy();
-      const timedOut = failure === CONNECT_TIMEOUT;
+      const timedOut = failure === CONNECT_TIMEOUT_REASON;
       return {kind: 'failed', reason: failure, timedOut};
     }
-    // Errors from here on reach the request that uses the socket; an error
-    // between two uses must not end the process.
+    // Later errors reach the request that uses the socket. Without this listener,
+    // an error while no request uses it would end the process.
     socket.on('error', () => {});
     return new FreshConnection(socket, options.mayStillSend ?? (() => true));
   }
 
-  /** Whether the request may have run as far as its sending tells. */
+  /** Whether the request may have run, judged only by whether it was sent. */
   get verdict(): Verdict {
-    return this.bytesHandedOver ? 'may_have_run' : 'not_run';
+    return this.hasWrittenBytes ? 'may_have_run' : 'not_run';
   }
 
-  /** True when the guard forbade the send; nothing left. */
+  /** True once the guard has forbidden a write; that write was not sent. */
   get wasForbidden(): boolean {
     return this.sendForbidden;
   }
 
-  /** For the option of the same name of `http.request` and `got`. */
+  /** Value for the `createConnection` option of `http.request` and `got`. */
   readonly createConnection = (): net.Socket => this.socket;
 
   /** Resets the connection. */
@@ -104,9 +110,10 @@
   }
 
   /**
-   * The check sits in the very call that hands bytes to the socket, so that
-   * no other work of this process can come between check and send. Only a
-   * process frozen by the system between the two lines below can send late.
+   * Makes each write call `mayStillSend` first. Both happen in the same call, so
+   * that no other work of this process can run between check and send. Only a
+   * process that the system suspends between the check and the write below can
+   * send late.
    */
   private guardWrites(): void {
     const write = this.socket.write.bind(this.socket) as (
@@ -118,7 +125,7 @@
         resetSocket(this.socket);
         return false;
       }
-      this.bytesHandedOver = true;
+      this.hasWrittenBytes = true;
       return write(...args);
     };
     this.socket.write = guarded as net.Socket['write'];
@@ -126,10 +133,10 @@
 }
 
 /**
- * A socket whose sending side is being shut down can't be reset: Node.js (20)
- * gets an error from the system and leaves the handle open, which then keeps a
- * processor busy for as long as the process lives. Such a socket has nothing
- * more to send, so that closing it is as good.
+ * Resets a socket, or destroys it if its sending side is being shut down. Such
+ * a socket can't be reset: Node.js (20) gets an error from the system and leaves
+ * the handle open, which then keeps a CPU core busy for the rest of the process.
+ * It has nothing more to send, so that closing it is equivalent.
  */
 function resetSocket(socket: net.Socket): void {
   if (socket.writableEnded) socket.destroy();
@@ -141,7 +148,7 @@
   timeoutMs: number,
 ): Promise<string | undefined> {
   return new Promise(resolve => {
-    const timer = setTimeout(() => resolve(CONNECT_TIMEOUT), timeoutMs);
+    const timer = setTimeout(() => resolve(CONNECT_TIMEOUT_REASON), timeoutMs);
     const settle = (reason?: string) => {
       clearTimeout(timer);
       resolve(reason);
--- a/packages/entry/src/sessions/at_most_once.test.ts
+++ b/packages/entry/src/sessions/at_most_once.test.ts
@@ -11,9 +11,9 @@
 }
 
 test('a booking whose answer is lost is not made again', async t => {
-  // The booking app makes a booking and its connection breaks before the
-  // answer. Sent again, the customer would be charged twice; called "not run",
-  // the shop would book again itself.
+  // The booking service makes a booking and its connection breaks before the
+  // answer. A retry would charge the customer twice; with the verdict "not_run",
+  // the caller itself would book again.
   const world = await TestWorld.start({entries: ['akl-a', 'akl-b']});
   t.teardown(() => world.close());
   const lose = {faults: {records: {mode: 'lose_answer', count: 1}}};
@@ -34,9 +34,9 @@
   t.is(await bookings(world), 2);
 });
 
-test('a booking that was certainly not made can be made under its key', async t => {
-  // The booking app can't be reached. The shop asks again when it is back, and
-  // must neither get an old refusal nor two bookings.
+test('a booking refused as not run can be made later under its key', async t => {
+  // The booking service is unreachable. The caller retries when it is back, and
+  // must neither get the earlier refusal nor two bookings.
   const world = await TestWorld.start();
   t.teardown(() => world.close());
   const key = uniqueKey();
@@ -59,8 +59,8 @@
 });
 
 test('two instances asked at once under one key book once', async t => {
-  // A caller's library repeats a booking over another connection before the
-  // first answer is there.
+  // A caller's library repeats a booking over another connection before it has
+  // the first answer.
   const world = await TestWorld.start({entries: ['akl-a', 'akl-b']});
   t.teardown(() => world.close());
   const key = uniqueKey();
@@ -74,9 +74,9 @@
   t.true(answers.every(({status}) => status === 201 || status === 409));
 });
 
-test('a booking of an instance that died is not run by another', async t => {
-  // An instance is killed while a booking runs. Its caller asks another one,
-  // which can't know whether the booking was made.
+test('a booking of a killed instance is not run by another one', async t => {
+  // An instance is killed while a booking runs. The caller retries at another
+  // instance, which can't know whether the booking was made.
   const world = await TestWorld.start({entries: ['akl-a', 'akl-b']});
   t.teardown(() => world.close());
   await world.control(world.service, {
@@ -99,10 +99,10 @@
   });
 });
 
-test('a booking that runs at a stopping instance is in progress', async t => {
-  // An instance is told to stop while a booking runs there; its app has lost the
-  // connection and asks another instance. Told that nobody will ever know, the
-  // shop would ring the customer about a booking that is made a second later.
+test('a booking that runs at a stopping instance is reported as in progress', async t => {
+  // An instance is told to stop while a booking runs there; the caller has lost
+  // its connection and retries at another instance. It must not get
+  // `outcome_unknown`, since the booking is made a second later.
   const world = await TestWorld.start({entries: ['akl-a', 'akl-a']});
   t.teardown(() => world.close());
   await world.control(world.service, {
@@ -134,8 +134,8 @@
 });
 
 test('without the store keyed bookings are refused as not run', async t => {
-  // The platform's table is down. A keyed booking sent all the same could be
-  // made twice, since no instance would know of the other's.
+  // The platform's table is down. If a keyed booking were sent anyway, it could
+  // be made twice, since instances could not see each other's claims.
   const world = await TestWorld.start();
   t.teardown(() => world.close());
   await world.control(world.platform, {faults: {table: {mode: 'down'}}});
--- a/packages/entry/src/sessions/caller_connection.ts
+++ b/packages/entry/src/sessions/caller_connection.ts
@@ -1,9 +1,9 @@
-/** One caller's connection, held open by a test from its own side. */
+/** A caller's connection that a test opens and writes to directly. */
 
 import {connect, type Socket} from 'node:net';
 import {SHOP_KEY, waitUntil} from './test_world.js';
 
-/** A connection on which a test sends bytes when it sees fit. */
+/** A raw TCP connection to the callers' listener. */
 export class CallerConnection {
   private text = '';
   private isClosed = false;
@@ -12,12 +12,12 @@
     socket.setEncoding('latin1');
     socket.on('data', data => (this.text += String(data)));
     socket.on('close', () => (this.isClosed = true));
-    // A reset shows as a closed connection; the tests tell them by the answer.
+    // A reset shows as a closed connection; tests distinguish it by the answer.
     socket.on('error', () => {});
   }
 
   /**
-   * Opens a connection and sends nothing.
+   * Opens a connection without sending anything.
    *
    * @example
    * const connection = await CallerConnection.open(entry.callersUrl);
@@ -32,12 +32,12 @@
     return new CallerConnection(socket);
   }
 
-  /** All that has come from the other end. */
+  /** Everything received so far. */
   get received(): string {
     return this.text;
   }
 
-  /** Status of the first answer; 0 until its head has come. */
+  /** Status of the first answer; 0 until its status line has arrived. */
   get status(): number {
     return Number(/^HTTP\/1\.1 (\d+)/.exec(this.text)?.[1] ?? 0);
   }
@@ -46,7 +46,7 @@
     return this.isClosed;
   }
 
-  /** Sends the head of a request and as much of its body as is given. */
+  /** Sends the head of a request and the given part of its body. */
   send(
     line: string,
     options: {readonly body?: string; readonly contentLength?: number} = {},
@@ -66,21 +66,21 @@
     );
   }
 
-  /** Asks for a streamed answer of so many tokens. */
+  /** Requests a streamed answer of the given number of tokens. */
   sendChat(tokens: number): void {
     this.send('POST /v1/chat/completions', {body: chatBody(tokens)});
   }
 
-  /** Resolves when the text has come; fails when the connection ends before. */
+  /** Waits for a text; throws if the connection closes before it arrives. */
   async waitFor(text: string): Promise<void> {
     await waitUntil(() => this.text.includes(text) || this.isClosed);
     if (this.text.includes(text)) return;
-    throw new Error(`closed without "${text}": ${this.text}`);
+    throw new Error(`connection closed before "${text}" arrived: ${this.text}`);
   }
 }
 
 /**
- * The body of a streamed chat.
+ * Returns the body of a streamed chat request.
  *
  * @example
  * connection.send('POST /v1/chat/completions', {body: chatBody(4)});
--- a/packages/entry/src/sessions/cut_off.test.ts
+++ b/packages/entry/src/sessions/cut_off.test.ts
@@ -4,16 +4,16 @@
 import {account, OPERATOR_KEY, TestWorld, waitUntil} from './test_world.js';
 
 test('without the platform instances serve on and new ones start', async t => {
-  // The platform's services are away for long. Callers must not notice, and an
-  // instance that is replaced meanwhile must still get the configuration.
+  // The platform's services are down for long. Callers must not notice, and an
+  // instance that starts meanwhile must still get the configuration.
   const world = await TestWorld.start({entries: ['akl-a', 'akl-a']});
   t.teardown(() => world.close());
   await world.control(world.platform, {faults: {'*': {mode: 'down'}}});
   t.is((await world.chat(0, 'still there?')).status, 200);
   const refused = await world.submit([account('other')]);
   t.is(refused.status, 503);
-  // The list of instances can still be read: a new instance must learn from
-  // somewhere who is there.
+  // The list of instances can still be read, since a new instance needs it to
+  // find the others.
   await world.control(world.platform, {faults: {lists: {mode: 'ok'}}});
   const settings = await makeEntrySettings({
     instance: 'akl-a-9',
@@ -29,8 +29,8 @@
 });
 
 test('an instance that knows nothing is not ready and says so', async t => {
-  // A new instance reaches neither the platform nor a peer. Ready, it would
-  // refuse every caller the balancer sends it.
+  // A new instance reaches neither the platform nor a peer. If it reported itself
+  // ready, it would refuse every request that the balancer sends it.
   const world = await TestWorld.start();
   t.teardown(() => world.close());
   const settings = await makeEntrySettings({
@@ -47,8 +47,8 @@
 });
 
 test('a withdrawn key stays withdrawn at an instance that was frozen', async t => {
-  // A frozen instance comes back with old messages in its sockets. A revision
-  // that went back would let the withdrawn key work again.
+  // An instance resumes after a freeze with old messages in its sockets. If its
+  // revision went back, a withdrawn key would work again.
   const world = await TestWorld.start({entries: ['akl-a', 'akl-a']});
   t.teardown(() => world.close());
   world.entries[1].process.freeze();
@@ -63,8 +63,8 @@
 });
 
 test('operators who race get one order of tickets', async t => {
-  // Sixteen operators file tickets at once at two instances, while answers of
-  // the platform are lost. Each must hear the truth about its own ticket.
+  // Sixteen operators submit tickets concurrently at two instances, while answers
+  // of the platform are lost. Each must get the true outcome of its own ticket.
   const world = await TestWorld.start({entries: ['akl-a', 'akl-b']});
   t.teardown(() => world.close());
   await world.control(world.platform, {
--- a/packages/entry/src/sessions/failover.test.ts
+++ b/packages/entry/src/sessions/failover.test.ts
@@ -6,7 +6,7 @@
   readonly cells: {readonly owned: ReadonlyArray<{readonly cell: string}>};
 }
 
-/** Index of the entry that owns the model's cell. */
+/** Returns the index of the entry that owns the model's cell. */
 async function findOwner(world: TestWorld, entries: number): Promise<number> {
   for (let entry = 0; entry < entries; entry++) {
     const {cells} = (await world.dump(entry)) as unknown as CellOwnerDump;
@@ -14,10 +14,10 @@
       return entry;
     }
   }
-  throw new Error('nobody owns the cell');
+  throw new Error('no entry owns the cell');
 }
 
-/** More requests than fit at once, through one entry. */
+/** Sends more requests through one entry than can run at once. */
 function burst(world: TestWorld, entry: number): Promise<Answer[]> {
   return Promise.all(
     Array.from({length: 12}, (_, index) =>
@@ -29,13 +29,13 @@
 const THREE_ENTRIES = {
   entries: ['akl-a', 'akl-a', 'akl-a'],
   maxConcurrency: 2,
-  // No request is refused because a busy machine made the engine slow.
+  // Long enough that no request is refused when a busy machine slows the engine.
   deadlineMs: 300_000,
 };
 
 test('requests go on when the owner of their cell is killed', async t => {
   // The instance that decides which request runs next is killed while requests
-  // of another instance wait and run. Callers should notice a short delay.
+  // of another instance wait and run. Callers may see no more than a delay.
   const world = await TestWorld.start(THREE_ENTRIES);
   t.teardown(() => world.close());
   const owner = await findOwner(world, 3);
@@ -48,7 +48,7 @@
 
 test('requests go on when the owner of their cell is told to stop', async t => {
   // The instance that decides which request runs next is replaced while requests
-  // of another instance wait and run. They are not its own to refuse.
+  // of another instance wait and run. It must not refuse these requests.
   const world = await TestWorld.start({
     ...THREE_ENTRIES,
     settings: {shutdown: {balancerLagMs: 0, graceMs: 1000}},
@@ -64,8 +64,8 @@
 });
 
 test('requests go on when the owner of their cell freezes', async t => {
-  // The owner's machine stops for a while without closing a connection, then
-  // comes back and takes itself for the owner still.
+  // The owner's process freezes without closing a connection, then resumes and
+  // still considers itself the owner.
   const world = await TestWorld.start(THREE_ENTRIES);
   t.teardown(() => world.close());
   const owner = await findOwner(world, 3);
@@ -80,7 +80,7 @@
 });
 
 test('a data centre without entry instances still has its endpoints used', async t => {
-  // All entry instances of a data centre are lost; its engine is the only one.
+  // A data centre loses all its entry instances, and has the only engine.
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-b'],
     engines: ['akl-b'],
@@ -94,8 +94,8 @@
 });
 
 test('an engine that is lost does not lose its requests', async t => {
-  // One of two engines is killed in the middle of answers. Each caller still
-  // gets its whole answer, each token once.
+  // One of two engines crashes while it streams answers. Each caller must still
+  // get its whole answer, with each token once.
   const world = await TestWorld.start({engines: ['akl-a', 'akl-b']});
   t.teardown(() => world.close());
   const answers = Promise.all(
@@ -105,7 +105,7 @@
   );
   await delay(500);
   const crash = {crash: {restartAfterMs: null}};
-  // The crash resets the connection that orders it, too.
+  // The crash also resets the connection of the control command.
   await world.control({url: world.engines.urls[0]}, crash).catch(() => {});
   for (const {status, body} of await answers) {
     t.is(status, 200);
@@ -120,16 +120,16 @@
 });
 
 test('a request that crashes engines is stopped after two', async t => {
-  // A prompt makes each engine that runs it crash, and its caller sends it
-  // again and again, to whichever instance. Without the guard it would take
-  // down every engine; innocent requests beside it must be served.
+  // A prompt crashes each engine that runs it, and its caller retries it at any
+  // instance. Without the guard it would take down every engine. Other requests
+  // in flight at these engines must be served.
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-b'],
     engines: ['akl-a', 'akl-a', 'akl-b', 'akl-b'],
   });
   t.teardown(() => world.close());
   const poison = '<<poison>>';
-  const innocents = Promise.all(
+  const otherAnswers = Promise.all(
     Array.from({length: 6}, (_, index) =>
       world.chat(index % 2, `innocent ${index}`, {tokens: 60}),
     ),
@@ -149,7 +149,7 @@
     code: 'suspected_crash',
     verdict: 'not_run',
   });
-  for (const {status} of await innocents) t.is(status, 200);
+  for (const {status} of await otherAnswers) t.is(status, 200);
   let crashes = 0;
   for (const url of world.engines.urls) {
     crashes += Number((await world.log({url})).crashes ?? 0);
--- a/packages/entry/src/sessions/golden_session.test.ts
+++ b/packages/entry/src/sessions/golden_session.test.ts
@@ -8,7 +8,7 @@
   new URL('../../src/sessions/session.golden', import.meta.url),
 );
 
-test('a whole session reads as it always has', async t => {
+test('the transcript of a whole session matches the recorded one', async t => {
   const world = await TestWorld.start();
   t.teardown(() => world.close());
   const transcript = new SessionTranscript();
--- a/packages/entry/src/sessions/hang_up.test.ts
+++ b/packages/entry/src/sessions/hang_up.test.ts
@@ -2,13 +2,13 @@
 import test from 'ava';
 import {SHOP_KEY, TestWorld, waitUntil} from './test_world.js';
 
-test('nothing runs on for a caller that has hung up', async t => {
-  // A tramper closes the assistant in the middle of a long answer. An engine
-  // that went on would hold up the next customer and waste thousands of tokens.
+test('a request stops running when its caller disconnects', async t => {
+  // A caller disconnects in the middle of a long answer. An engine that went on
+  // would delay other requests and waste thousands of tokens.
   const world = await TestWorld.start();
   t.teardown(() => world.close());
-  // The engine stops when the connection closes, and counts the request as
-  // cancelled when the call for that comes, which may be later.
+  // The engine stops when the connection closes, but counts the request as
+  // cancelled only when the cancel call arrives, which may be later.
   const faults = {cancel: {mode: 'slow', delayMs: 300}};
   await world.control(world.engines, {faults});
   const stream = got.stream.post(
@@ -39,6 +39,10 @@
   await waitUntil(async () => (await readLog()).cancelled > 0);
   const log = await readLog();
   t.is(log.cancelled, 1);
-  t.is(log.tokensProduced, tokensProduced, 'it went on after it had stopped');
+  t.is(
+    log.tokensProduced,
+    tokensProduced,
+    'tokens were produced after the engine had stopped',
+  );
   t.is((await world.chat(0, 'next please')).status, 200);
 });
--- a/packages/entry/src/sessions/keys.test.ts
+++ b/packages/entry/src/sessions/keys.test.ts
@@ -10,9 +10,9 @@
 const MANY_TOKENS = 4000;
 
 test('a withdrawn key stops for new, waiting and running work', async t => {
-  // A shop's key has leaked and is withdrawn while its requests run and wait at
-  // another instance, whose connections stay open. Whoever holds the key would
-  // go on being served on the shop's account.
+  // A leaked key is withdrawn while requests with it run and wait at another
+  // instance, whose connections stay open. Without the check, these requests
+  // would still be served and billed to the account.
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-a'],
     maxConcurrency: 2,
@@ -49,10 +49,10 @@
   t.is(engineLog.running, 0);
 });
 
-test('a key withdrawn before the first token ends a request truthfully', async t => {
-  // The engine has a request and has not said a word yet when the key is
-  // withdrawn. A caller that is told "not run" books the work again, and pays
-  // twice if the engine had begun.
+test('a key withdrawn before the first token ends a request as may_have_run', async t => {
+  // The key is withdrawn while an engine has a request but has sent no token. With
+  // the verdict "not_run", the caller would send the request again, and pay twice
+  // if the engine had started it.
   const world = await TestWorld.start({entries: ['akl-a']});
   t.teardown(() => world.close());
   await world.control(world.engines, {slowFactor: 5000});
--- a/packages/entry/src/sessions/orders.test.ts
+++ b/packages/entry/src/sessions/orders.test.ts
@@ -36,7 +36,7 @@
   return log.orders.map(({content}) => content);
 }
 
-/** Index of the entry that holds the lease for orders, by its own account. */
+/** Returns the index of the entry that reports itself as holder of orders. */
 async function findHolder(world: TestWorld, among: readonly number[]) {
   let holder: number | undefined;
   await waitUntil(async () => {
@@ -50,10 +50,10 @@
 }
 
 test('the platform gets no order from a holder that was frozen', async t => {
-  // The instance that orders endpoints is paused for longer than its lease. A
-  // successor orders meanwhile. Thawed, the first one still believes for a
-  // moment that it is in charge; its order would undo the successor's, and
-  // endpoints would come and go at the firm's cost.
+  // The instance that orders endpoints freezes for longer than its lease, and a
+  // successor orders meanwhile. When the first one resumes, it briefly still
+  // considers itself the holder. Its order would undo the successor's, and
+  // endpoints would be started and stopped at a cost.
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-a'],
     settings: {lease: SHORT_LEASE},
@@ -86,12 +86,12 @@
   t.deepEqual(
     tokens,
     [...tokens].sort((a, b) => a - b),
-    'an older token after a newer one',
+    'an order with an older fencing token followed a newer one',
   );
   t.is((await orders(world)).at(-1)?.targetCount, 2);
 });
 
-test('a holder that shuts down hands its role over at once', async t => {
+test('a lease holder that shuts down hands over its role at once', async t => {
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-a'],
     settings: {lease: {termMs: 60_000, renewEveryMs: 300, marginMs: 300}},
@@ -99,12 +99,12 @@
   t.teardown(() => world.close());
   const first = await findHolder(world, [0, 1]);
   t.is((await world.entries[first].process.terminate()).code, 0);
-  // Long before the term of a minute would be over.
+  // The wait for a role is 30 s at most, shorter than the term of 60 s.
   t.is(await findHolder(world, [1 - first]), 1 - first);
 });
 
 test('a leaving endpoint gets no new work, and what runs there finishes', async t => {
-  // An engine is to leave while answers run on it and more requests come.
+  // An engine is set to leave while it runs requests and more requests arrive.
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-a'],
     engines: ['akl-a', 'akl-a'],
@@ -122,10 +122,10 @@
   const runs = async () =>
     Object.keys((await world.log({url: leavingUrl})).runsByRequestId as object)
       .length;
-  // An answer on its way when the ticket came into force may still arrive.
+  // A request sent just before the ticket came into force may still arrive.
   await delay(1000);
   const before = await runs();
-  t.true(before > 0, 'nothing ran there');
+  t.true(before > 0, 'no request ran at the leaving engine');
   const later = await Promise.all(
     Array.from({length: 12}, (_, index) => world.chat(index % 2, `q${index}`)),
   );
--- a/packages/entry/src/sessions/shutdown.test.ts
+++ b/packages/entry/src/sessions/shutdown.test.ts
@@ -2,7 +2,7 @@
 import {TestWorld, waitUntil} from './test_world.js';
 
 test('a graceful shutdown cuts no request', async t => {
-  // An instance is replaced while it streams answers, while requests wait there
+  // An instance is stopped while it streams answers, while requests wait there,
   // and while the balancer, which has not noticed yet, still sends new ones.
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-a'],
@@ -34,7 +34,7 @@
   t.is(served, 7);
 });
 
-/** Requests in the counters that were written to the table. */
+/** Returns the number of requests in the usage counters in the table. */
 async function usageLines(world: TestWorld): Promise<number> {
   const rows = await world.scanTable('usage/counters/');
   const values = rows.map(({value}) => value as CounterRow);
--- a/packages/entry/src/sessions/stopping.test.ts
+++ b/packages/entry/src/sessions/stopping.test.ts
@@ -4,20 +4,20 @@
 import {CallerConnection, chatBody} from './caller_connection.js';
 import {TestWorld, waitUntil, type Answer} from './test_world.js';
 
-/** Forty seconds at an engine, longer than any of these instances has left. */
-const ENDLESS_TOKENS = 4000;
+/** Takes about 40 s at an engine, longer than the stopping instances have left. */
+const LONG_ANSWER_TOKENS = 4000;
 const NO_LAG = {balancerLagMs: 0};
 
-test('a late first request on an early connection is refused, not cut', async t => {
-  // A shop's app opens a connection ahead of need. The instance is told to stop
-  // and goes on for a long answer; the shop's first request comes then. Were it
-  // taken, the quote would break off when the instance ends seconds later.
+test('a first request on an open connection during a stop is refused, not cut', async t => {
+  // A caller opens a connection without sending a request. The instance is told
+  // to stop and keeps running for a long answer; the caller's first request comes
+  // then. If admitted, it would be cut when the instance exits seconds later.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 4000}});
   const early = await CallerConnection.open(world.entries[0].callersUrl);
-  const held = holdUp(world, ENDLESS_TOKENS);
+  const held = startLongAnswer(world, LONG_ANSWER_TOKENS);
   await waitForPhases(world, ['answering']);
   const {exited} = await stop(world);
-  early.sendChat(ENDLESS_TOKENS);
+  early.sendChat(LONG_ANSWER_TOKENS);
   await early.waitFor('\r\n\r\n');
   assertRefused(t, early);
   t.is(await runsAtEngines(world), 1);
@@ -26,26 +26,26 @@
 });
 
 test('a connection whose answer began before the stop closes with it', async t => {
-  // The head of a streamed answer went out before the stop, so that nothing in
-  // it asks the caller to close. Were the connection kept, the caller's next
-  // request would come to an instance that is about to end.
+  // The head of a streamed answer was sent before the stop, without
+  // `connection: close`. If the connection stayed open, the caller's next request
+  // would reach an instance that is about to exit.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 30_000}});
   const kept = await CallerConnection.open(world.entries[0].callersUrl);
   kept.sendChat(100);
-  const held = holdUp(world, 800);
+  const held = startLongAnswer(world, 800);
   await waitForPhases(world, ['answering', 'answering']);
   const {exited} = await stop(world);
   await kept.waitFor('data: [DONE]');
   await Promise.race([waitUntil(() => kept.hasClosed), delay(2000)]);
-  t.true(kept.hasClosed, 'it was left open for another request');
+  t.true(kept.hasClosed, 'the connection stayed open after the answer');
   t.true((await held).body.endsWith('data: [DONE]\n\n'));
   t.is((await exited).code, 0);
 });
 
-test('what the balancer still sends is taken only if it can be finished', async t => {
-  // Until the balancer has noticed a stop, new connections go on coming. A
-  // lookup that ends within its five seconds is served; a request that may
-  // take twenty is sent elsewhere at once rather than cut after twelve.
+test('a request from a lagging balancer is admitted only if it can finish', async t => {
+  // New connections arrive until the balancer has noticed a stop. A lookup with a
+  // timeout of 5 s is served; a request with a deadline of 20 s is refused at
+  // once rather than cut after 12 s.
   const world = await start(t, {
     shutdown: {balancerLagMs: 6000, graceMs: 6000},
   });
@@ -54,7 +54,7 @@
   t.is(lookup.status, 200);
   t.is(lookup.headers.connection, 'close');
   const late = await CallerConnection.open(world.entries[0].callersUrl);
-  late.sendChat(ENDLESS_TOKENS);
+  late.sendChat(LONG_ANSWER_TOKENS);
   await late.waitFor('\r\n\r\n');
   assertRefused(t, late);
   t.is(await runsAtEngines(world), 0);
@@ -62,34 +62,40 @@
 });
 
 test('a request that waits for an engine is refused at the stop, not cut', async t => {
-  // The only place at the engine is taken when the instance is told to stop.
-  // Were the waiting request kept, it would get the place shortly before the
-  // end, run, and be cut; its caller could not even repeat it safely.
+  // The engine is at its concurrency limit of 1 when the instance is told to
+  // stop. If the waiting request stayed in the queue, it would start shortly
+  // before the exit and be cut, and its caller could not safely repeat it.
   const world = await start(
     t,
     {shutdown: {...NO_LAG, graceMs: 18_000}},
     {maxConcurrency: 1},
   );
   let hasFinished = false;
-  const first = holdUp(world, 300);
+  const first = startLongAnswer(world, 300);
   void first.then(() => (hasFinished = true));
   await waitForPhases(world, ['answering']);
   const waiting = world.chat(0, 'next', {tokens: 8});
   await waitForPhases(world, ['answering', 'waiting']);
   const {exited} = await stop(world);
   const refusal = await waiting;
-  t.false(hasFinished, 'it was left to wait');
+  t.false(
+    hasFinished,
+    'the waiting request was answered only after the running one',
+  );
   assertRefusal(t, refusal);
   t.true((await first).body.endsWith('data: [DONE]\n\n'));
   t.is(await runsAtEngines(world), 1);
   t.is((await exited).code, 0);
 });
 
-test('a stream that outlasts the grace time ends with the reason', async t => {
-  // An answer is longer than the instance may go on. A caller that only saw the
-  // connection close could not tell a stop from a fault.
+test('a stream that outlasts the grace time ends with a refusal', async t => {
+  // An answer takes longer than the grace time. If the connection were just
+  // closed, the caller could not distinguish a stop from a fault.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 1000}});
-  const stream = world.chat(0, 'all', {tokens: ENDLESS_TOKENS, stream: true});
+  const stream = world.chat(0, 'all', {
+    tokens: LONG_ANSWER_TOKENS,
+    stream: true,
+  });
   await waitForPhases(world, ['answering']);
   const {exited} = await stop(world);
   const {body} = await stream;
@@ -97,9 +103,9 @@
   t.is((await exited).code, 0);
 });
 
-test('a caller that stalls in its body does not hold up the end', async t => {
-  // A tablet loses its network in the middle of an upload. The instance waits
-  // for the rest; whoever replaces it has to kill it, with all that runs there.
+test('a caller that stalls while sending a body does not delay the exit', async t => {
+  // A caller loses its network in the middle of an upload. If the instance waited
+  // for the rest, its supervisor would have to kill it, with all that runs there.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 1000}});
   const stalled = await CallerConnection.open(world.entries[0].callersUrl);
   const body = chatBody(4);
@@ -110,13 +116,13 @@
   await waitForPhases(world, ['waiting']);
   const {exited} = await stop(world);
   const ended = await Promise.race([exited, delay(20_000)]);
-  t.truthy(ended, 'it is still there');
+  t.truthy(ended, 'the process did not exit within 20 s');
   assertRefused(t, stalled);
 });
 
 test('an answer that is still on its way to its caller is not cut', async t => {
-  // A caller on a slow line reads a long list. The instance has written it all
-  // and has nothing else to do; were it to end then, the list would break off.
+  // A caller reads a long answer slowly. The instance has written all of it and
+  // has nothing else to do; if it exited then, the answer would be cut.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 20_000}});
   const note = 'x'.repeat(24 * 1024 * 1024);
   await got.post(`${world.service.url}/bookings`, {json: {note}});
@@ -135,10 +141,10 @@
   t.is(body.length, promised);
 });
 
-test('a request that comes while the last figures are written is refused', async t => {
-  // Nothing runs any more, but the store is slow to take the usage. A request
-  // that comes then on an open connection would run for a caller who never
-  // gets the answer, as the sockets are about to be closed.
+test('a request that arrives during the final write of usage is refused', async t => {
+  // No request runs any more, but the store does not accept the usage yet. A
+  // request that arrives then on an open connection would run, but its caller
+  // would not get the answer, since the sockets are about to be closed.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 60_000}});
   const early = await CallerConnection.open(world.entries[0].callersUrl);
   t.is((await world.chat(0, 'counted')).status, 200);
@@ -146,16 +152,17 @@
   await world.control(world.platform, {faults});
   const {exited} = await stop(world);
   await waitUntil(async () => (await shutdownPhase(world)) === 'closing');
-  early.sendChat(ENDLESS_TOKENS);
+  early.sendChat(LONG_ANSWER_TOKENS);
   await early.waitFor('\r\n\r\n');
   assertRefused(t, early);
   t.is(await runsAtEngines(world), 1);
   t.is((await exited).code, 0);
 });
 
-test('an operator hears what became of a ticket sent during a stop', async t => {
-  // A ticket goes to an instance that ends while the store is slow. Were the
-  // connection closed, the operator could not tell whether it is in force.
+test('a ticket submitted during a stop is answered', async t => {
+  // A ticket is submitted to an instance that stops while the store is slow. If
+  // the connection were closed, the operator would not know whether the ticket
+  // was accepted.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 1000}});
   const keyPrefix = 'configuration/tickets/';
   const faults = {table: {mode: 'slow', delayMs: 1500, keyPrefix}};
@@ -170,9 +177,9 @@
   t.is((await exited).code, 0);
 });
 
-test('a ticket sent while the last figures are written is not taken', async t => {
-  // An operator's command goes to an instance that is about to end. It hears
-  // that nothing took effect, and turns to the next instance.
+test('a ticket submitted during the final write of usage is refused', async t => {
+  // An operator's command reaches an instance that is about to exit. The answer
+  // says that nothing took effect, so that the command can try another instance.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 60_000}});
   t.is((await world.chat(0, 'counted')).status, 200);
   const faults = {table: {mode: 'down', keyPrefix: 'usage/'}};
@@ -187,11 +194,11 @@
   t.is((await exited).code, 0);
 });
 
-test('a stop that is asked for again cuts nothing', async t => {
-  // An operator drains an instance, the supervisor sends its signal, and sends
-  // it once more since the instance is still there: it finishes a long answer.
+test('repeated stop requests cut no answer', async t => {
+  // An operator drains an instance, then the supervisor sends its signal, and
+  // repeats it since the instance still runs: it is finishing a long answer.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 40_000}});
-  const held = holdUp(world, 300);
+  const held = startLongAnswer(world, 300);
   await waitForPhases(world, ['answering']);
   t.is((await world.admin(0, 'POST', 'drain')).status, 202);
   const {exited} = await stop(world);
@@ -201,20 +208,20 @@
   t.is((await exited).code, 0);
 });
 
-test('an answer that breaks off during a stop goes on at another engine', async t => {
-  // An engine dies while the instance finishes its answers. It may not have time
-  // for the whole deadline of their class, but most answers need a part of it,
-  // and whoever has read half an answer gains nothing by a refusal.
+test('an answer that breaks off during a stop continues at another engine', async t => {
+  // An engine crashes while a stopping instance finishes its answers. The time
+  // left may be less than the deadline of their class, but most answers need only
+  // part of it, and a refusal would not help a caller that has half an answer.
   const world = await start(
     t,
     {shutdown: {...NO_LAG, graceMs: 18_000}},
     {engines: ['akl-a', 'akl-b']},
   );
-  const answers = Array.from({length: 4}, () => holdUp(world, 200));
+  const answers = Array.from({length: 4}, () => startLongAnswer(world, 200));
   await waitForPhases(world, Array<string>(4).fill('answering'));
   const {exited} = await stop(world);
   const crash = {crash: {restartAfterMs: null}};
-  // The crash resets the connection that orders it, too.
+  // The crash also resets the connection of the control command.
   await world.control({url: world.engines.urls[0]}, crash).catch(() => {});
   for (const {body} of await Promise.all(answers)) {
     t.true(body.endsWith('data: [DONE]\n\n'), body.slice(-300));
@@ -222,15 +229,15 @@
   t.is((await exited).code, 0);
 });
 
-test('the last instance of a data centre serves what waits there', async t => {
-  // The only instance there is told to stop while more requests wait than run.
-  // No other instance takes over its cells; it has time for all of them.
+test('the last instance of a data centre serves the requests that wait there', async t => {
+  // The only instance of a data centre is told to stop while more requests wait
+  // than run. No other instance takes over its cells, and it has time for all.
   const world = await start(
     t,
     {shutdown: {...NO_LAG, graceMs: 40_000}},
     {maxConcurrency: 2},
   );
-  const answers = Array.from({length: 6}, () => holdUp(world, 60));
+  const answers = Array.from({length: 6}, () => startLongAnswer(world, 60));
   const held = ['answering', 'answering', ...Array<string>(4).fill('waiting')];
   await waitForPhases(world, held);
   const {exited} = await stop(world);
@@ -241,16 +248,16 @@
   t.is((await exited).code, 0);
 });
 
-test('a store that does not answer holds up the end for seconds only', async t => {
-  // The store is silent when an instance is told to stop. Leases, claims and
-  // figures can't be written; an instance that waited for them would be killed
-  // with the answers that it still gives.
+test('a store that does not answer delays the exit for seconds only', async t => {
+  // The store does not answer when an instance is told to stop, so that leases,
+  // claims and usage can't be written. An instance that waited for these writes
+  // would be killed, together with the answers that it still streams.
   const world = await start(t, {shutdown: {...NO_LAG, graceMs: 1000}});
   t.is((await world.chat(0, 'counted')).status, 200);
   await world.control(world.platform, {faults: {table: {mode: 'silent'}}});
   const {exited} = await stop(world);
   const ended = await Promise.race([exited, delay(20_000)]);
-  t.truthy(ended, 'it is still there');
+  t.truthy(ended, 'the process did not exit within 20 s');
 });
 
 async function start(
@@ -266,15 +273,16 @@
   return world;
 }
 
-/** A streamed answer that keeps the instance from ending. */
-function holdUp(world: TestWorld, tokens: number): Promise<Answer> {
+/** Starts a streamed answer that keeps the instance from exiting. */
+function startLongAnswer(world: TestWorld, tokens: number): Promise<Answer> {
   const answer = world.chat(0, 'hold', {tokens, stream: true});
-  // A test that fails before it reads the answer is to fail by itself only.
+  // A test that fails before it awaits the answer must not also fail with an
+  // unhandled rejection.
   answer.catch(() => {});
   return answer;
 }
 
-/** Tells the instance to stop and waits until it has begun to. */
+/** Signals the instance to stop and waits until its shutdown has begun. */
 async function stop(
   world: TestWorld,
 ): Promise<{readonly exited: Promise<{readonly code: number | null}>}> {
--- a/packages/entry/src/sessions/test_transcript.ts
+++ b/packages/entry/src/sessions/test_transcript.ts
@@ -1,4 +1,4 @@
-/** A session as text that is the same in each run. */
+/** Writes a session as text that is the same in every run. */
 
 import type {Answer} from './test_world.js';
 
@@ -11,7 +11,7 @@
   'idempotency-replayed',
 ] as const;
 
-/** Collects answers; random ids are numbered in the order of their coming. */
+/** Collects answers; replaces random ids by numbers in order of appearance. */
 export class SessionTranscript {
   private readonly parts: string[] = [];
   private readonly ids = new Map<string, string>();
--- a/packages/entry/src/sessions/test_world.ts
+++ b/packages/entry/src/sessions/test_world.ts
@@ -1,4 +1,4 @@
-/** A small world of processes for the tests of whole sessions. */
+/** A small deployment of real processes, for tests of whole sessions. */
 
 import {randomUUID} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -18,11 +18,11 @@
 export const SHOP_KEY = 'sk-shop';
 export const OTHER_KEY = 'sk-other';
 
-const POLL_EVERY_MS = 20;
-const PATIENCE_MS = 30_000;
+const POLL_INTERVAL_MS = 20;
+const TIMEOUT_MS = 30_000;
 const DEFAULT_DEADLINE_MS = 20_000;
 
-/** What a {@link TestWorld} is made of. */
+/** Options of {@link TestWorld}. */
 export interface TestWorldOptions {
   /** Data centre of each entry instance. */
   readonly entries?: readonly string[];
@@ -31,27 +31,30 @@
   readonly maxConcurrency?: number;
   /** Deadline of all request classes (20,000 ms). */
   readonly deadlineMs?: number;
-  /** Changed sections of all entries' settings. */
+  /** Sections that override those of all entries' settings. */
   readonly settings?: Partial<EntrySettingsInput>;
-  /** Another address of the platform, by entry; for links in between. */
+  /**
+   * Returns the platform's address for an instance, given the real one; lets a
+   * test put a proxy in between.
+   */
   readonly platformUrlOf?: (instance: string, url: string) => Promise<string>;
 }
 
-/** An object of the configuration, as tickets have it. */
+/** A change of one object in a ticket; the state `null` removes it. */
 export interface TestChange {
   readonly kind: string;
   readonly id: string;
   readonly state: object | null;
 }
 
-/** A call's status and body; never throws for an error status. */
+/** The answer to a call; error statuses don't throw. */
 export interface Answer {
   readonly status: number;
   readonly headers: Response['headers'];
   readonly body: string;
 }
 
-/** Platform, engines, one booking service and entry instances. */
+/** Runs a platform, engines, one booking service and entry instances. */
 export class TestWorld {
   readonly launcher = new Launcher();
   readonly entries: LaunchedEntry[] = [];
@@ -77,7 +80,7 @@
     return this.launcher.close();
   }
 
-  /** Submits a ticket under the next number, by the first entry. */
+  /** Submits a ticket with the next number through the first entry. */
   async submit(changes: readonly TestChange[]): Promise<Answer> {
     this.ticketNumber += 1;
     const number = this.ticketNumber;
@@ -93,10 +96,12 @@
   ): Promise<Answer> {
     const url = `${this.entries[entry].adminUrl}/admin/v1/${path}`;
     const headers = {authorization: `Bearer ${OPERATOR_KEY}`};
-    return toAnswer(await got(url, {...QUIET, method, headers, json}));
+    return toAnswer(
+      await got(url, {...REQUEST_OPTIONS, method, headers, json}),
+    );
   }
 
-  /** A call as a caller makes it. */
+  /** Sends a request to an entry's listener for callers. */
   async call(
     entry: number,
     path: string,
@@ -112,7 +117,7 @@
     const {key = SHOP_KEY, json, body, signal} = options;
     const hasBody = json !== undefined || body !== undefined;
     const response = await got(this.entries[entry].callersUrl + path, {
-      ...QUIET,
+      ...REQUEST_OPTIONS,
       method: options.method ?? (hasBody ? 'POST' : 'GET'),
       headers: {authorization: `Bearer ${key}`, ...options.headers},
       json,
@@ -122,7 +127,7 @@
     return toAnswer(response);
   }
 
-  /** A chat with a fixed number of tokens. */
+  /** Sends a chat request for a fixed number of tokens (4). */
   chat(
     entry: number,
     content: string,
@@ -162,7 +167,7 @@
     return await got(`${standIn.url}/control/log`).json();
   }
 
-  /** Rows of the platform's table, as the platform itself has them. */
+  /** Reads rows directly from the platform's table. */
   async scanTable(
     prefix: string,
   ): Promise<Array<{key: string; value: unknown}>> {
@@ -182,7 +187,7 @@
     return JSON.parse((await this.admin(entry, 'GET', 'dump')).body);
   }
 
-  /** Waits until all entries have the revision in force. */
+  /** Waits until all entries have at least this revision in force. */
   async waitForRevision(revision: number): Promise<void> {
     for (const index of this.entries.keys()) {
       await waitUntil(
@@ -191,7 +196,7 @@
     }
   }
 
-  /** Waits until each entry knows all others. */
+  /** Waits until each entry sees `count` members alive, itself included. */
   async waitForMembers(count = this.entries.length): Promise<void> {
     for (const index of this.entries.keys()) {
       await waitUntil(async () => {
@@ -294,7 +299,7 @@
     ];
   }
 
-  /** An engine as an object of the configuration. */
+  /** Returns a ticket change that sets an engine as an endpoint. */
   endpoint(
     id: string,
     dataCentre: string,
@@ -317,10 +322,10 @@
   }
 }
 
-const QUIET = {
+const REQUEST_OPTIONS = {
   throwHttpErrors: false,
   retry: {limit: 0},
-  timeout: {request: PATIENCE_MS},
+  timeout: {request: TIMEOUT_MS},
 } as const;
 
 const BOOKING_SERVICE: TestChange = {
@@ -336,7 +341,7 @@
   },
 };
 
-/** A request class of a tier. */
+/** Returns a ticket change that sets a request class of a tier. */
 export function requestClass(
   id: string,
   tier: number,
@@ -357,7 +362,7 @@
   };
 }
 
-/** A client account with one key, or none. */
+/** Returns a ticket change that sets a client account with one key or none. */
 export function account(id: string, key?: string): TestChange {
   return {
     kind: 'client_account',
@@ -371,21 +376,21 @@
   };
 }
 
-/** A key that no other test uses. */
+/** Returns an idempotency key that no other test uses. */
 export function uniqueKey(): string {
   return `key-${randomUUID()}`;
 }
 
-/** Waits for a condition; gives up after half a minute. */
+/** Waits for a condition; throws after 30 s. */
 export async function waitUntil(
   condition: () => Promise<boolean> | boolean,
 ): Promise<void> {
-  const deadlineMs = performance.now() + PATIENCE_MS;
+  const deadlineMs = performance.now() + TIMEOUT_MS;
   while (!(await condition())) {
     if (performance.now() > deadlineMs) {
-      throw new Error(`still not so: ${condition.toString()}`);
+      throw new Error(`timed out waiting for: ${condition.toString()}`);
     }
-    await delay(POLL_EVERY_MS);
+    await delay(POLL_INTERVAL_MS);
   }
 }
 
--- a/packages/entry/src/sessions/usage.test.ts
+++ b/packages/entry/src/sessions/usage.test.ts
@@ -12,7 +12,7 @@
   readonly lines: readonly Line[];
 }
 
-/** As the platform's log shows a report. */
+/** A report in the platform's log. */
 interface LoggedReport {
   readonly content: Report;
 }
@@ -26,9 +26,9 @@
 }
 
 test('the bill matches what was served though instances die', async t => {
-  // The instance that reports usage is killed again and again, answers of the
-  // platform are lost, and an instance dies just after it has served. Work that
-  // is billed twice or with two figures, or not at all, costs trust or money.
+  // Answers of the platform are lost, and an instance is killed just after it has
+  // served requests. No usage may be lost or billed twice, and a window that is
+  // reported twice must have the same figures.
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-a', 'akl-a'],
     settings: {usage: SHORT_WINDOWS, lease: SHORT_LEASE},
@@ -50,7 +50,7 @@
   });
   await waitUntil(async () => sum(await reports(world)) >= 12);
   await serve(0, 4);
-  // Long enough for a peer to have its copy, too short for a write to be due.
+  // Long enough for a peer to get its copy, too short for the next write.
   await delay(700);
   await world.entries[0].process.kill();
   await serve(1, 2);
@@ -59,13 +59,17 @@
   const byWindow = new Map<string, string>();
   for (const {window, lines} of all) {
     const figures = JSON.stringify(lines);
-    t.is(byWindow.get(window) ?? figures, figures, 'two figures of one window');
+    t.is(
+      byWindow.get(window) ?? figures,
+      figures,
+      'two reports of one window differ',
+    );
     byWindow.set(window, figures);
   }
   t.is(sum(all), served);
 });
 
-/** Each window counted once, however often it was reported. */
+/** Sums the requests; counts each window once, however often it was reported. */
 function sum(all: readonly Report[]): number {
   const byWindow = new Map(all.map(report => [report.window, report.lines]));
   return [...byWindow.values()]
--- a/packages/errors/src/request_error.ts
+++ b/packages/errors/src/request_error.ts
@@ -1,4 +1,4 @@
-/** The errors that the project throws; requests end with a verdict. */
+/** The errors that the project throws. */
 
 import type {Refusal, RefusalCode} from '@snipestage/types/refusal.js';
 import type {Verdict} from '@snipestage/types/verdict.js';
@@ -7,7 +7,7 @@
 /** Root of all errors that the project throws. */
 export const SnipestageError = ModernError.subclass('SnipestageError');
 
-/** What a {@link RequestError} is made from. */
+/** Options of {@link RequestError}. */
 export interface RequestErrorOptions extends InstanceOptions {
   readonly code?: RefusalCode;
   readonly verdict?: Verdict;
@@ -15,8 +15,8 @@
 }
 
 /**
- * Ends a request with a refusal. Left to the defaults it is an internal error
- * of which nothing is known, so it may have run.
+ * Ends a request with a refusal. By default the code is `internal` and the
+ * verdict `may_have_run`, since nothing is known of where the error arose.
  *
  * @example
  * throw new RequestError('No endpoint of the model is up.', {
@@ -43,21 +43,21 @@
 
 export type RequestError = InstanceType<typeof RequestError>;
 
-/** One thing wrong with an input, and where. */
+/** One fault of an input and its place. */
 export interface Fault {
   /** Path of the field, such as `changes[2].state.tier`. */
   readonly path: string;
   readonly message: string;
 }
 
-/** What an {@link InputError} is made from. */
+/** Options of {@link InputError}. */
 export interface InputErrorOptions extends InstanceOptions {
   readonly faults?: readonly Fault[];
 }
 
 /**
- * Settings, tickets or arguments that a person has to correct, with every
- * fault found.
+ * Invalid settings, tickets or arguments, which a person has to correct; lists
+ * all faults found.
  *
  * @example
  * throw new InputError('The settings are not valid.', {
--- a/packages/errors/src/schema_faults.ts
+++ b/packages/errors/src/schema_faults.ts
@@ -1,18 +1,18 @@
-/** Turns what a schema found wrong into faults that a person can act on. */
+/** Converts the issues that a schema reports to readable faults. */
 
 import type {Fault} from './request_error.js';
 
-/** The part of a zod issue that a fault is made from. */
+/** The fields of a zod issue that are used here. */
 export interface SchemaIssue {
   readonly code?: string;
   readonly path: readonly PropertyKey[];
   readonly message: string;
-  /** Names of the fields that the schema doesn't know. */
+  /** Names of unknown fields, for the code `unrecognized_keys`. */
   readonly keys?: readonly string[];
 }
 
 /**
- * A fault for each field that is wrong; unknown fields get one each.
+ * Converts each issue to a fault; each unknown field gets its own.
  *
  * @example
  * const result = schema.safeParse(input);
@@ -31,7 +31,7 @@
 }
 
 /**
- * Writes a path the way one reads it in code.
+ * Formats a path as an expression in code.
  *
  * @example
  * pathOf(['changes', 2, 'state', 'tier']); // 'changes[2].state.tier'
--- a/packages/log/src/bounded_output.test.ts
+++ b/packages/log/src/bounded_output.test.ts
@@ -7,24 +7,26 @@
 import test from 'ava';
 import {BoundedOutput} from './bounded_output.js';
 
-const FLOOD = fileURLToPath(
+const FLOOD_MODULE = fileURLToPath(
   new URL('./test_support/flood.js', import.meta.url),
 );
 
-test('a reader of the logs that stalls does not stall the process', async t => {
-  // The program that collects the logs hangs. Node.js writes to a pipe
-  // synchronously, so that every request would hang with it.
-  const child = fork(FLOOD, {stdio: ['ignore', 'pipe', 'inherit', 'ipc']});
+test('a stalled reader of the logs does not block the process', async t => {
+  // The program that collects the logs hangs. Since Node.js writes to a pipe
+  // synchronously, every request would hang with it.
+  const child = fork(FLOOD_MODULE, {
+    stdio: ['ignore', 'pipe', 'inherit', 'ipc'],
+  });
   t.teardown(() => child.kill('SIGKILL'));
-  // Nobody reads from child.stdout.
-  const [told] = (await once(child, 'message')) as [
+  // Nothing reads from child.stdout.
+  const [result] = (await once(child, 'message')) as [
     {dropped: number; rounds: number},
   ];
-  t.is(told.rounds, 40);
-  t.true(told.dropped > 0);
+  t.is(result.rounds, 40);
+  t.true(result.dropped > 0);
 });
 
-test('lines beyond the rate are left out, counted and told', async t => {
+test('lines above the rate limit are dropped, counted and reported', async t => {
   const path = join(tmpdir(), `bounded_output_${process.pid}.log`);
   t.teardown(() => unlinkSync(path));
   let nowMs = 0;
--- a/packages/log/src/bounded_output.ts
+++ b/packages/log/src/bounded_output.ts
@@ -1,33 +1,33 @@
-/** Standard output for log lines that never holds up the process. */
+/** Output of log lines that never blocks the process. */
 
 import sonicBoom from 'sonic-boom';
 
-/** What a {@link BoundedOutput} is made from; defaults in the brackets. */
+/** Options of {@link BoundedOutput}; defaults in brackets. */
 export interface BoundedOutputOptions {
   /** File descriptor (1, standard output). */
   readonly fd?: number;
-  /** Bytes kept for a reader that is slow (256 KiB). */
+  /** Bytes buffered for a slow reader; more are dropped (256 KiB). */
   readonly maxBufferedBytes?: number;
-  /** Lines a second; more are left out and counted (300). */
+  /** Lines per second; more are dropped and counted (300). */
   readonly maxLinesPerS?: number;
-  /** How often buffered lines are written (200 ms). */
+  /** How often buffered lines are written, in ms (200). */
   readonly flushEveryMs?: number;
   readonly nowMs?: () => number;
 }
 
 const STANDARD_OUTPUT = 1;
 const DEFAULT_MAX_BUFFERED_BYTES = 256 * 1024;
-/** About six times the lines of an instance with 50 requests a second. */
+/** About six times the lines of an instance with 50 requests per second. */
 const DEFAULT_MAX_LINES_PER_S = 300;
 const DEFAULT_FLUSH_EVERY_MS = 200;
-/** Lines are gathered to this size, which saves a system call each. */
+/** Lines are collected up to this size, which saves a system call per line. */
 const MIN_WRITE_BYTES = 4096;
 const SECOND_MS = 1000;
 
 /**
- * Node.js writes to a pipe synchronously: a reader of the logs that stalls would
- * stall every request. Lines go through a buffer of bounded size instead, and
- * what doesn't fit is dropped and counted.
+ * Writes log lines through a buffer of bounded size; lines that don't fit are
+ * dropped and counted. Without it, Node.js would write to a pipe synchronously,
+ * and a stalled reader of the logs would stall every request.
  */
 export class BoundedOutput {
   private readonly destination: sonicBoom.SonicBoom;
@@ -36,7 +36,7 @@
   private secondBeganAtMs = Number.NEGATIVE_INFINITY;
   private linesThisSecond = 0;
   private droppedCount = 0;
-  private untoldCount = 0;
+  private unreportedCount = 0;
 
   constructor(options: BoundedOutputOptions = {}) {
     this.maxLinesPerS = options.maxLinesPerS ?? DEFAULT_MAX_LINES_PER_S;
@@ -49,17 +49,18 @@
       periodicFlush: options.flushEveryMs ?? DEFAULT_FLUSH_EVERY_MS,
     });
     this.destination.on('drop', () => this.countDrop());
-    // Nobody is left to tell when standard output itself is gone.
+    // If the output itself fails, there is nowhere to log the error; it is only
+    // counted.
     this.destination.on('error', () => this.countDrop());
   }
 
-  /** Lines left out since the start. */
+  /** Lines dropped since the start. */
   get dropped(): number {
     return this.droppedCount;
   }
 
   /**
-   * Takes one line with its line end.
+   * Writes one line, which includes its line end; may drop it.
    *
    * @example
    * const logger = new Logger({component: 'callers', write: output.write});
@@ -75,12 +76,12 @@
     this.destination.write(line);
   };
 
-  /** Resolves when all that was buffered is written, after {@link close}. */
+  /** Resolves when {@link close} has written all buffered lines. */
   async whenClosed(): Promise<void> {
     await new Promise(resolve => this.destination.once('close', resolve));
   }
 
-  /** Writes what is buffered, at the end of the process. */
+  /** Writes the buffered lines and closes the output. */
   close(): void {
     this.destination.end();
   }
@@ -88,14 +89,14 @@
   private beginSecond(nowMs: number): void {
     this.secondBeganAtMs = nowMs;
     this.linesThisSecond = 0;
-    if (this.untoldCount === 0) return;
-    const line = {event: 'log_lines_dropped', count: this.untoldCount};
-    this.untoldCount = 0;
+    if (this.unreportedCount === 0) return;
+    const line = {event: 'log_lines_dropped', count: this.unreportedCount};
+    this.unreportedCount = 0;
     this.destination.write(`${JSON.stringify(line)}\n`);
   }
 
   private countDrop(): void {
     this.droppedCount += 1;
-    this.untoldCount += 1;
+    this.unreportedCount += 1;
   }
 }
--- a/packages/log/src/logger.test.ts
+++ b/packages/log/src/logger.test.ts
@@ -11,7 +11,7 @@
   });
 }
 
-test.serial('a line is one JSON object that no field can disguise', t => {
+test.serial('a line is one JSON object; no field overrides its event', t => {
   createDebug.enable(DEFAULT_NAMESPACES);
   const lines: string[] = [];
   const logger = loggerInto(lines).withFields({requestId: 'r-1'});
@@ -24,7 +24,7 @@
   );
 });
 
-test.serial('namespaces choose component and level', t => {
+test.serial('namespaces select component and level', t => {
   const lines: string[] = [];
   const logger = loggerInto(lines);
   createDebug.enable(DEFAULT_NAMESPACES);
@@ -39,9 +39,9 @@
   );
 });
 
-// A caller's key, or the text of its request, gets into a log line by way of
-// headers, an error's message or a nested object. Nobody notices until the
-// logs are read by someone who should not have had it.
+// A caller's key or the text of its request could reach a log line through
+// headers, the message of an error or a nested object, and then be read by
+// everyone with access to the logs.
 test.serial('no secret and no content of a request is ever written', t => {
   createDebug.enable(DEFAULT_NAMESPACES);
   const lines: string[] = [];
--- a/packages/log/src/logger.ts
+++ b/packages/log/src/logger.ts
@@ -1,65 +1,65 @@
-/** Structured log lines; the `DEBUG` variable chooses which are written. */
+/** Structured log lines; the `DEBUG` variable selects which are written. */
 
 import createDebug from 'debug';
 import {redact} from './redaction.js';
 
-/** From the least to the most grave. */
+/** Log levels in order of increasing severity. */
 export const LOG_LEVELS = ['debug', 'info', 'warn', 'error'] as const;
 
 /** One of {@link LOG_LEVELS}. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** What a line tells besides its event, such as `requestId`. */
+/** Fields of a line besides its event, such as `requestId`. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** What a {@link Logger} is made from. */
+/** Options of {@link Logger}. */
 export interface LoggerOptions {
-  /** Part of the process that speaks, such as `lease` or `callers`. */
+  /** Part of the process that logs, such as `lease` or `callers`. */
   readonly component: string;
-  /** Fields of each line. */
+  /** Fields that are added to each line. */
   readonly fields?: LogFields;
-  /** Takes one line with its line end; standard error by default. */
+  /** Writes one line, including its line end; by default to standard error. */
   readonly write?: (line: string) => void;
   readonly nowEpochMs?: () => number;
 }
 
 const NAMESPACE = 'snipestage';
 
-/** What is written when `DEBUG` is not set. */
+/** The namespaces that are written when `DEBUG` is not set. */
 export const DEFAULT_NAMESPACES = ['info', 'warn', 'error']
   .map(level => `${NAMESPACE}:*:${level}`)
   .join(',');
 
 /**
- * Writes one JSON object a line: `time`, `level`, `component`, `event`, then
- * the fields, without secrets. Each level of each component is a namespace
+ * Writes one JSON object per line: `time`, `level`, `component`, `event`, then
+ * the fields, with secrets redacted. Each level of each component is a namespace
  * `snipestage:<component>:<level>` of the `debug` library, which decides what
- * is written; without `DEBUG` that is info and graver.
+ * is written; without `DEBUG`, the levels info, warn and error are.
  *
  * @example
  * const logger = new Logger({component: 'lease'});
- * logger.info('lease_taken', {dataCentre, fencingToken});
+ * logger.info('lease_acquired', {dataCentre, fencingToken});
  */
 export class Logger {
-  private readonly switches: Readonly<Record<LogLevel, createDebug.Debugger>>;
+  private readonly debuggers: Readonly<Record<LogLevel, createDebug.Debugger>>;
   private readonly write: (line: string) => void;
   private readonly nowEpochMs: () => number;
 
   constructor(private readonly options: LoggerOptions) {
     enableDefaultNamespaces();
-    const switchOf = (level: LogLevel) =>
+    const debuggerOf = (level: LogLevel) =>
       createDebug(`${NAMESPACE}:${options.component}:${level}`);
-    this.switches = {
-      debug: switchOf('debug'),
-      info: switchOf('info'),
-      warn: switchOf('warn'),
-      error: switchOf('error'),
+    this.debuggers = {
+      debug: debuggerOf('debug'),
+      info: debuggerOf('info'),
+      warn: debuggerOf('warn'),
+      error: debuggerOf('error'),
     };
     this.write = options.write ?? (line => void process.stderr.write(line));
     this.nowEpochMs = options.nowEpochMs ?? Date.now;
   }
 
-  /** A logger that adds the fields to each of its lines. */
+  /** Returns a logger that adds the fields to each of its lines. */
   withFields(fields: LogFields): Logger {
     return new Logger({
       ...this.options,
@@ -67,7 +67,7 @@
     });
   }
 
-  /** A logger of another component that writes to the same place. */
+  /** Returns a logger of another component with the same output and fields. */
   forComponent(component: string): Logger {
     return new Logger({...this.options, component});
   }
@@ -89,7 +89,7 @@
   }
 
   private log(level: LogLevel, event: string, fields?: LogFields): void {
-    if (!this.switches[level].enabled) return;
+    if (!this.debuggers[level].enabled) return;
     const head = {
       time: new Date(this.nowEpochMs()).toISOString(),
       level,
@@ -97,12 +97,13 @@
       event,
     };
     const rest = redact({...this.options.fields, ...fields});
-    // The head goes last so that no field can pass for another event.
+    // The head is repeated at the end so that no field can override it; the
+    // first copy sets the order.
     this.write(`${JSON.stringify({...head, ...rest, ...head})}\n`);
   }
 }
 
-/** `debug` keeps its choice in `DEBUG`, so a choice made earlier stands. */
+/** The `debug` library stores its selection in `DEBUG`; an earlier one stays. */
 function enableDefaultNamespaces(): void {
   if (process.env.DEBUG === undefined) createDebug.enable(DEFAULT_NAMESPACES);
 }
--- a/packages/log/src/metric_names.ts
+++ b/packages/log/src/metric_names.ts
@@ -1,9 +1,9 @@
-/** Every metric that the project sends, with its kind, unit and meaning. */
+/** All metrics that the project sends, with kind, unit, tags and meaning. */
 
-/** How a metric is sent and read. */
+/** The StatsD type of a metric. */
 export type MetricKind = 'counter' | 'timing' | 'gauge';
 
-/** One metric as the documentation lists it. */
+/** A metric, as listed in the documentation. */
 export interface MetricDescription {
   readonly kind: MetricKind;
   readonly unit: string;
@@ -11,7 +11,7 @@
   readonly description: string;
 }
 
-/** By name, without the prefix from the settings. */
+/** Metrics by name, without the prefix from the settings. */
 export const METRICS = {
   requests: {
     kind: 'counter',
@@ -231,16 +231,16 @@
     : never;
 }[keyof typeof METRICS];
 
-/** Metrics that only rise. */
+/** Names of counters. */
 export type CounterName = NameOfKind<'counter'>;
-/** Metrics of durations. */
+/** Names of metrics of durations. */
 export type TimingName = NameOfKind<'timing'>;
-/** Metrics of a state. */
+/** Names of gauges, which report a current value. */
 export type GaugeName = NameOfKind<'gauge'>;
-/** Any metric. */
+/** Names of all metrics. */
 export type MetricName = keyof typeof METRICS;
 
-/** The tags of one metric; each may be left out, no other may be given. */
+/** The tags of one metric; each is optional, and others are type errors. */
 export type TagsOf<Name extends MetricName> = {
   readonly [Tag in (typeof METRICS)[Name]['tags'][number]]?: string;
 };
--- a/packages/log/src/metrics.test.ts
+++ b/packages/log/src/metrics.test.ts
@@ -33,9 +33,9 @@
   ]);
 });
 
-// The metrics server is down or restarting. Sends fail or vanish, and callers
-// must not notice anything of it.
-test('a metrics server that is gone harms nobody', async t => {
+// The metrics server is down or restarting, so that sends fail or are lost. This
+// must not affect the process.
+test('an unreachable metrics server causes no errors', async t => {
   const {socket, port} = await listen();
   await new Promise<void>(resolve => socket.close(() => resolve()));
   const metrics = new StatsDMetrics({host: '127.0.0.1', port});
--- a/packages/log/src/metrics.ts
+++ b/packages/log/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Sends metrics to a StatsD server over UDP, or nowhere. */
+/** Sends metrics to a StatsD server over UDP, or discards them. */
 
 import {isIPv6} from 'node:net';
 import {StatsD} from 'hot-shots';
@@ -9,9 +9,9 @@
   TimingName,
 } from './metric_names.js';
 
-/** Takes measurements; never throws and never waits. */
+/** Records metrics; recording neither throws nor blocks. */
 export abstract class Metrics {
-  /** Adds to a counter. */
+  /** Adds to a counter, by default 1. */
   abstract count<Name extends CounterName>(
     name: Name,
     value?: number,
@@ -24,18 +24,18 @@
     tags?: TagsOf<Name>,
   ): void;
 
-  /** Sets a gauge to its value now. */
+  /** Sets a gauge to its current value. */
   abstract gauge<Name extends GaugeName>(
     name: Name,
     value: number,
     tags?: TagsOf<Name>,
   ): void;
 
-  /** Sends what is buffered and lets go of the socket. */
+  /** Sends buffered metrics and closes the socket. */
   abstract close(): Promise<void>;
 }
 
-/** Used where the settings name no metrics server. */
+/** Discards all metrics; used if the settings name no metrics server. */
 export class NoMetrics extends Metrics {
   count(): void {}
   timing(): void {}
@@ -44,7 +44,7 @@
   async close(): Promise<void> {}
 }
 
-/** What {@link StatsDMetrics} is made from. */
+/** Options of {@link StatsDMetrics}. */
 export interface StatsDMetricsOptions {
   readonly host: string;
   readonly port: number;
@@ -52,16 +52,17 @@
   /** Tags of every metric, such as the instance and its data centre. */
   readonly globalTags?: Readonly<Record<string, string>>;
   readonly flushEveryMs?: number;
-  /** Told of failed sends; they are otherwise passed over. */
+  /** Called for failed sends; by default they are ignored. */
   readonly onError?: (error: Error) => void;
 }
 
 const DEFAULT_FLUSH_EVERY_MS = 1000;
-/** Fits an Ethernet frame, so that no datagram is split. */
+/** Fits into an Ethernet frame, so that no datagram is fragmented. */
 const MAX_DATAGRAM_BYTES = 1400;
 
 /**
- * Sends to StatsD, tags in DogStatsD's form, many metrics a datagram.
+ * Sends metrics to a StatsD server, with DogStatsD tags and several metrics per
+ * datagram.
  *
  * @example
  * const metrics = new StatsDMetrics({host: '127.0.0.1', port: 8125});
@@ -83,7 +84,7 @@
       udpSocketOptions: {type: isIPv6(options.host) ? 'udp6' : 'udp4'},
       maxBufferSize: MAX_DATAGRAM_BYTES,
       bufferFlushInterval: options.flushEveryMs ?? DEFAULT_FLUSH_EVERY_MS,
-      // Without a handler a lost metrics server would end the process.
+      // Without a handler, an unreachable metrics server would end the process.
       errorHandler: options.onError ?? (() => {}),
     });
   }
--- a/packages/log/src/redaction.ts
+++ b/packages/log/src/redaction.ts
@@ -1,17 +1,17 @@
-/** Takes secrets and contents of requests out of what is logged. */
+/** Removes secrets and request contents from log fields. */
 
-/** Stands where something was taken out. */
+/** Placeholder for removed values. */
 export const REDACTED = '[redacted]';
 
 const MAX_DEPTH = 4;
 const MAX_TEXT_LENGTH = 2000;
-const MAX_ITEMS = 50;
+const MAX_ITEM_COUNT = 50;
 
-/** Endings of field names, in lower case and without `-` and `_`. */
+/** Suffixes of sensitive field names, in lower case without `-` and `_`. */
 const SENSITIVE_NAME =
   /(authorization|secret|password|credentials?|cookie|keys?|keyhash(es)?|tokens?|body|prompt|messages|content)$/;
 
-/** Secrets inside other text, such as an error's message. */
+/** Patterns of secrets inside other text, such as the message of an error. */
 const SENSITIVE_TEXT: ReadonlyArray<readonly [RegExp, string]> = [
   [/\b(Bearer|Basic)\s+[^\s"',]+/gi, `$1 ${REDACTED}`],
   [/\bsk-[\w-]{8,}/g, REDACTED],
@@ -20,11 +20,11 @@
 ];
 
 /**
- * A copy of the fields that may be written. A key or a caller's text in a log
- * would be read by everyone who reads logs, and nobody would notice. So
- * everything under a sensitive name goes, but for numbers and booleans, which
- * hold no secret (`outputTokens`, `fencingToken`), and known shapes of secrets
- * go wherever they stand.
+ * Returns a copy of the fields that is safe to log. A key or a caller's text in
+ * a log would be readable by everyone with access to the logs, without anyone
+ * noticing. Therefore all values under sensitive names are removed, except
+ * numbers and booleans, which hold no secret (`outputTokens`, `fencingToken`),
+ * and known patterns of secrets are removed from all texts.
  *
  * @example
  * redact({requestId: 'r-1', apiKey: 'sk-…'});
@@ -58,7 +58,7 @@
   if (typeof value !== 'object' || value === null) {
     return typeof value === 'bigint' ? String(value) : value;
   }
-  // Bytes are contents of requests or answers, whatever the field is called.
+  // Bytes are contents of requests or answers, whatever the name of the field.
   if (ArrayBuffer.isView(value)) return REDACTED;
   if (value instanceof Error) return describeError(value, depth);
   if (value instanceof Date) return value;
@@ -68,13 +68,13 @@
   }
   if (Array.isArray(value) || value instanceof Set) {
     return [...value]
-      .slice(0, MAX_ITEMS)
+      .slice(0, MAX_ITEM_COUNT)
       .map(item => redactValue(item, depth + 1));
   }
   return redactRecord(value as Record<string, unknown>, depth);
 }
 
-/** Only what is known to be harmless: errors of got carry whole headers. */
+/** Copies only harmless properties, since errors of got have all headers. */
 function describeError(error: Error, depth: number): unknown {
   const {code} = error as {code?: unknown};
   return {
--- a/packages/settings/src/entry_settings.ts
+++ b/packages/settings/src/entry_settings.ts
@@ -10,7 +10,7 @@
 } from './field_schemas.js';
 
 const MAX_PORT = 65535;
-const KILOBYTE = 1024;
+const KIBIBYTE = 1024;
 
 const port = z.int().min(0).max(MAX_PORT);
 
@@ -20,7 +20,7 @@
   maxBodyBytes: z
     .int()
     .positive()
-    .default(1024 * KILOBYTE)
+    .default(1024 * KIBIBYTE)
     .describe('longest request body; beyond it `body_too_large`'),
 });
 
@@ -157,7 +157,7 @@
     .describe('for a connection to an endpoint'),
 });
 
-/** The schema; unknown fields are faults. */
+/** The schema of the settings; unknown fields are faults. */
 export const entrySettingsSchema = z.strictObject({
   instance: name.describe('name of this instance, unlike all others'),
   dataCentre: name.describe('data centre it stands in'),
--- a/packages/settings/src/field_schemas.ts
+++ b/packages/settings/src/field_schemas.ts
@@ -1,8 +1,8 @@
-/** Schemas of fields that settings and change tickets have in common. */
+/** Schemas of fields that settings and change tickets share. */
 
 import {z} from 'zod';
 
-const LONGEST_NAME = 64;
+const MAX_NAME_LENGTH = 64;
 
 /** Name of an instance, data centre or region. */
 export const nameSchema = z
@@ -11,17 +11,17 @@
     /^[a-z0-9][a-z0-9-]*$/,
     'must be lower-case letters, digits and hyphens',
   )
-  .max(LONGEST_NAME);
+  .max(MAX_NAME_LENGTH);
 
-/** An IPv4 or IPv6 number; host names are not resolved. */
+/** An IPv4 or IPv6 address; host names are refused. */
 export const ipNumberSchema = z.union([z.ipv4(), z.ipv6()], {
   error: 'must be an IP number',
 });
 
-/** A whole number of milliseconds, at least one. */
+/** An integer number of milliseconds, at least 1. */
 export const durationMsSchema = z.int().positive();
 
-/** `sha256:` and 64 hexadecimal digits. */
+/** Hash of a key: `sha256:` and 64 hexadecimal digits. */
 export const keyHashSchema = z
   .string()
   .regex(/^sha256:[0-9a-f]{64}$/, 'must come from `snipestage keys hash`');
--- a/packages/settings/src/read_settings.test.ts
+++ b/packages/settings/src/read_settings.test.ts
@@ -18,7 +18,7 @@
   t.is(settings.lease.termMs, 6000);
 });
 
-test('all faults are told together, each with its path', t => {
+test('all faults are reported together, each with its path', t => {
   const error = t.throws(
     () =>
       checkEntrySettings({
@@ -32,9 +32,9 @@
   t.deepEqual(paths, ['callers.port', 'callers.prot', 'dataCentre']);
 });
 
-// A lease that is renewed too seldom lapses between two renewals; the role
-// would wander from instance to instance and nothing would get done.
-test('settings that can not work together are told', t => {
+// A lease with a term that is too short expires between two renewals: its role
+// would move from instance to instance without getting any work done.
+test('settings that contradict each other are reported', t => {
   const error = t.throws(
     () =>
       checkEntrySettings({
--- a/packages/settings/src/read_settings.ts
+++ b/packages/settings/src/read_settings.ts
@@ -1,4 +1,4 @@
-/** Reads settings from a file and tells all their faults together. */
+/** Reads settings from a file and reports all their faults together. */
 
 import {readFileSync} from 'node:fs';
 import {InputError} from '@snipestage/errors/request_error.js';
@@ -8,7 +8,7 @@
 /**
  * Checks parsed settings.
  *
- * @throws InputError with a fault for each field that is wrong.
+ * @throws InputError with a fault for each invalid field.
  * @example
  * const settings = checkEntrySettings(JSON.parse(text));
  */
@@ -25,7 +25,7 @@
 /**
  * Reads and checks a settings file.
  *
- * @throws InputError when the file can't be read, is no JSON or is not valid.
+ * @throws InputError when the file can't be read, is not JSON or is not valid.
  * @example
  * const settings = readEntrySettings('/etc/snipestage/entry.json');
  */
--- a/packages/settings/src/settings_reference.ts
+++ b/packages/settings/src/settings_reference.ts
@@ -1,9 +1,9 @@
-/** Lists every setting with its default, from the schema itself. */
+/** Lists all settings and their defaults, derived from the schema. */
 
 import {z} from 'zod';
 import {entrySettingsSchema} from './entry_settings.js';
 
-/** One setting as the documentation lists it. */
+/** A setting, as listed in the documentation. */
 export interface SettingDescription {
   /** Such as `callers.port`. */
   readonly path: string;
@@ -12,7 +12,7 @@
   readonly description: string;
 }
 
-/** The part of a JSON schema that is read here. */
+/** The fields of a JSON schema that are used here. */
 interface Schema {
   readonly properties?: Readonly<Record<string, Schema>>;
   readonly required?: readonly string[];
@@ -21,8 +21,8 @@
 }
 
 /**
- * All settings in the order of the schema. Those of a part that may be left out
- * are required only where that part is given.
+ * Lists all settings in the order of the schema. Required settings of an
+ * optional section are required only if that section is present.
  *
  * @example
  * listSettings().map(setting => setting.path); // ['instance', …]
@@ -37,12 +37,12 @@
   return Object.entries(properties).flatMap(([name, field]) => {
     const path = `${prefix}${name}`;
     if (field.properties !== undefined) return listFields(field, `${path}.`);
-    const standard = standardOf(field, required.includes(name));
+    const standard = defaultTextOf(field, required.includes(name));
     return [{path, standard, description: field.description ?? ''}];
   });
 }
 
-function standardOf(field: Schema, isRequired: boolean): string {
+function defaultTextOf(field: Schema, isRequired: boolean): string {
   if (field.default !== undefined) return JSON.stringify(field.default);
   return isRequired ? 'required' : 'optional';
 }
--- a/packages/types/src/configuration.ts
+++ b/packages/types/src/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration: every object that change tickets create, replace or
- * remove. Objects are replaced whole.
+ * The objects of the configuration. Change tickets create, replace and remove
+ * them; an object is always replaced as a whole.
  */
 
 import type {
@@ -16,88 +16,95 @@
   ServiceId,
 } from './ids.js';
 
-/** Instances and endpoints that can be cut off from all others as a whole. */
+/**
+ * A place where instances and endpoints run. A network fault can cut it off
+ * from all other data centres as a whole.
+ */
 export interface DataCentre {
   readonly id: DataCentreId;
   readonly region: RegionId;
-  /** By when every endpoint must have left, as milliseconds since the epoch. */
+  /** Time by which all its endpoints must be gone, in ms since the epoch. */
   readonly leaveByEpochMs?: number;
-  /** Its endpoints get no new requests until it is restored (false). */
+  /** While true, its endpoints get no new requests. */
   readonly evacuated?: boolean;
 }
 
-/** A service level: its place in the priority order and its targets. */
+/** A service level: priority tier, latency targets and deadline. */
 export interface RequestClass {
   readonly id: RequestClassId;
-  /** 0 is served first. */
+  /** Priority; requests of tier 0 are served first. */
   readonly tier: number;
   readonly firstTokenTargetMs: number;
   readonly betweenTokensTargetMs: number;
-  /** From arrival to the last byte. */
+  /** From the arrival of a request to the last byte of its answer. */
   readonly deadlineMs: number;
-  /** Share of a cell's dispatches kept for the class, 0 to 0.2. */
+  /** Share of a cell's dispatches reserved for the class, 0 to 0.2. */
   readonly guaranteedShare: number;
-  /** Whether its requests may run on endpoints that vanish at any time. */
+  /** Whether its requests may run on endpoints of the kind `cheap`. */
   readonly cheapEndpointsAllowed: boolean;
 }
 
-/** A customer that calls with its own keys. */
+/** A customer, identified by its API keys. */
 export interface ClientAccount {
   readonly id: ClientAccountId;
   readonly keyHashes: readonly KeyHash[];
   readonly requestClasses: readonly RequestClassId[];
   readonly defaultRequestClass: RequestClassId;
-  /** How long a cut-off data centre goes on serving it; no limit if absent. */
+  /**
+   * How long instances that can no longer confirm their configuration go on
+   * serving the account; a withdrawal of its keys would not reach them. No limit
+   * if absent.
+   */
   readonly serveCutOffForMs?: number;
-  /** Most requests at once at one entry instance; no limit if absent. */
+  /** Most concurrent requests at one entry instance; no limit if absent. */
   readonly maxInFlightPerInstance?: number;
 }
 
 export interface Model {
   readonly id: ModelId;
-  /** First guess of an answer's length, until one has been measured. */
+  /** Expected length of an answer, unless `max_tokens` asks for less. */
   readonly typicalOutputTokens: number;
 }
 
-/** A call of a plain service, by method and the start of its path. */
+/** An operation of a plain service, matched by method and path prefix. */
 export interface ServiceOperation {
   readonly method: string;
   readonly pathPrefix: string;
-  /** Whether running it twice does no harm. */
+  /** Whether it may safely run more than once. */
   readonly idempotent: boolean;
 }
 
-/** A plain service beside the engines. */
+/** A plain HTTP service, as opposed to a model. */
 export interface Service {
   readonly id: ServiceId;
-  /** The first that matches counts; none means not idempotent. */
+  /** The first match applies; without a match a call is not idempotent. */
   readonly operations: readonly ServiceOperation[];
   readonly timeoutMs: number;
 }
 
-/** `cheap` ones cost less and can be reclaimed at any time. */
+/** `cheap` endpoints cost less, but can be reclaimed at any time. */
 export type EndpointKind = 'regular' | 'cheap';
 
-/** What an endpoint serves. */
+/** The model or service that an endpoint serves. */
 export type EndpointTarget =
   | {readonly kind: 'model'; readonly model: ModelId}
   | {readonly kind: 'service'; readonly service: ServiceId};
 
-/** One back end that a data centre runs. */
+/** A back end in a data centre: a model engine or a plain service. */
 export interface Endpoint {
   readonly id: EndpointId;
   readonly dataCentre: DataCentreId;
   readonly kind: EndpointKind;
-  /** Scheme, IP number and port. */
+  /** Scheme, IP address and port. */
   readonly url: string;
   readonly serves: EndpointTarget;
-  /** Most requests at once that the endpoint is built for. */
+  /** Most concurrent requests that the endpoint is built for. */
   readonly maxConcurrency: number;
-  /** Set when it is to leave: it gets no new work. */
+  /** True while it drains: it gets no new requests. */
   readonly leaving: boolean;
 }
 
-/** How many endpoints of a model the platform may be asked for. */
+/** Limits and prices for ordering endpoints of a model in a data centre. */
 export interface EndpointPool {
   /** `<data centre>/<model>`. */
   readonly id: string;
@@ -109,11 +116,11 @@
   readonly maxConcurrencyPerEndpoint: number;
   readonly regularPricePerHour: number;
   readonly cheapPricePerHour: number;
-  /** Whether its engines refuse orders with an old fencing token. */
+  /** Whether its engines reject orders with an outdated fencing token. */
   readonly enginesCheckFencing: boolean;
 }
 
-/** Each kind of object with its type. */
+/** The type of each kind of object. */
 export interface ConfigurationObjects {
   data_centre: DataCentre;
   request_class: RequestClass;
@@ -129,7 +136,7 @@
 /** `<kind>/<id>`. */
 export type ObjectPath = `${ObjectKind}/${string}`;
 
-/** The new state of one object; `null` removes it. */
+/** Sets the state of one object; `null` removes it. */
 export type ObjectChange = {
   [Kind in ObjectKind]: {
     readonly kind: Kind;
@@ -138,7 +145,7 @@
   };
 }[ObjectKind];
 
-/** A numbered request of an operator, with the whole new state it touches. */
+/** An operator's numbered request, with the new state of each changed object. */
 export interface ChangeTicket {
   readonly number: ChangeTicketNumber;
   readonly author: string;
@@ -146,7 +153,7 @@
   readonly changes: readonly ObjectChange[];
 }
 
-/** All objects in force at one revision, by id. */
+/** All objects in force at one revision, indexed by id. */
 export interface Configuration {
   readonly revision: Revision;
   readonly dataCentres: ReadonlyMap<string, DataCentre>;
--- a/packages/types/src/ids.ts
+++ b/packages/types/src/ids.ts
@@ -1,6 +1,6 @@
 /**
- * Branded ids: strings and numbers that the compiler does not let one mistake
- * for another.
+ * Branded ids: strings and numbers with a compile-time name, so that the
+ * compiler rejects an id of one kind where another kind is expected.
  */
 
 declare const brand: unique symbol;
@@ -10,9 +10,9 @@
   readonly [brand]: Name;
 };
 
-/** One entry instance, by the name its settings give it. */
+/** Name of an entry instance, from its settings. */
 export type InstanceId = Branded<string, 'InstanceId'>;
-/** One life of an instance: a new random value at each start. */
+/** Identifies one run of an instance: a new random value at each start. */
 export type Incarnation = Branded<string, 'Incarnation'>;
 export type DataCentreId = Branded<string, 'DataCentreId'>;
 export type RegionId = Branded<string, 'RegionId'>;
@@ -24,26 +24,26 @@
 /** A group of endpoints of one model or service in one data centre. */
 export type CellId = Branded<string, 'CellId'>;
 export type RequestId = Branded<string, 'RequestId'>;
-/** One sending of a request to an endpoint; a retry is a new attempt. */
+/** One attempt to run a request at an endpoint; each retry is a new one. */
 export type AttemptId = Branded<string, 'AttemptId'>;
 export type IdempotencyKey = Branded<string, 'IdempotencyKey'>;
-/** `sha256:` and 64 hexadecimal digits, see {@link KeyHash} use in accounts. */
+/** Hash of an API key: `sha256:` and 64 hexadecimal digits. */
 export type KeyHash = Branded<string, 'KeyHash'>;
-/** Hash of client account and request content. */
+/** Hash of the client account and the content of a request. */
 export type Fingerprint = Branded<string, 'Fingerprint'>;
 export type OrderId = Branded<string, 'OrderId'>;
 export type LeaseName = Branded<string, 'LeaseName'>;
 export type UsageWindowId = Branded<string, 'UsageWindowId'>;
 
-/** Number of a change ticket, chosen by the operator; whole, 1 or more. */
+/** Number of a change ticket, chosen by the operator; an integer from 1. */
 export type ChangeTicketNumber = Branded<number, 'ChangeTicketNumber'>;
-/** Counts accepted change tickets; 0 is the empty configuration. */
+/** Number of accepted change tickets; 0 is the empty configuration. */
 export type Revision = Branded<number, 'Revision'>;
-/** Rises with each new holder of a lease. */
+/** Increases with each new holder of a lease. */
 export type FencingToken = Branded<number, 'FencingToken'>;
 
 /**
- * Gives a checked plain value its brand.
+ * Brands a plain value; the value itself is not checked.
  *
  * @example
  * const id = brandAs<EndpointId>('akl-a-repair-1');
--- a/packages/types/src/member.ts
+++ b/packages/types/src/member.ts
@@ -1,19 +1,19 @@
-/** Entry instances as membership sees them. */
+/** Entry instances in the membership list. */
 
 import type {DataCentreId, Incarnation, InstanceId, Revision} from './ids.js';
 
 export type MemberState = 'alive' | 'suspect' | 'dead' | 'leaving';
 
-/** One instance as one observer knows it. */
+/** An instance as one observer currently sees it. */
 export interface Member {
   readonly id: InstanceId;
   readonly incarnation: Incarnation;
   readonly dataCentre: DataCentreId;
-  /** `<IP number>:<port>` of its peer listener. */
+  /** `<IP address>:<port>` of its peer listener. */
   readonly peerAddress: string;
   readonly state: MemberState;
-  /** Raised by the member itself; the higher one is newer. */
+  /** Counter that only the member itself increases; higher is newer. */
   readonly heartbeat: number;
-  /** The revision that the member has in force. */
+  /** Revision of the configuration that the member has in force. */
   readonly revision: Revision;
 }
--- a/packages/types/src/permits.ts
+++ b/packages/types/src/permits.ts
@@ -1,6 +1,7 @@
 /**
- * Records between an entry instance, where requests wait, and the owner of a
- * cell, which decides what runs next. They travel in batches, one frame a tick.
+ * Records exchanged between entry instances, which queue requests, and the owner
+ * of a cell, which decides which request runs next. They are sent in batches,
+ * one frame per tick.
  */
 
 import type {
@@ -13,7 +14,7 @@
   RequestClassId,
 } from './ids.js';
 
-/** A request that waits. */
+/** Asks the owner of a cell for a permit for a waiting request. */
 export interface PermitAsk {
   readonly attempt: AttemptId;
   readonly cell: CellId;
@@ -22,36 +23,36 @@
   readonly requestClass: RequestClassId;
   readonly tier: number;
   readonly expectedTokens: number;
-  /** Time left until its first token is worthless, when the ask was sent. */
+  /** Time left, when this was sent, until a first token would be too late. */
   readonly remainingMs: number;
-  /** Hash of the prompt's start, for prefix-cache affinity. */
+  /** Hash of the start of the prompt, for prefix-cache affinity. */
   readonly prefixHash?: string;
   readonly fingerprint: Fingerprint;
-  /** It was in flight where an endpoint crashed: must run alone. */
+  /** It was in flight at an endpoint that crashed, so it must run alone. */
   readonly suspect: boolean;
   readonly cheapAllowed: boolean;
-  /** Endpoints that have failed it already. */
+  /** Endpoints that must not be chosen, since earlier attempts failed there. */
   readonly excluded: readonly EndpointId[];
 }
 
-/** Leave to run one attempt at one endpoint. */
+/** Permission to run one attempt at one endpoint. */
 export interface PermitGrant {
   readonly attempt: AttemptId;
   readonly endpoint: EndpointId;
 }
 
-/** The owner's refusal: the attempt has not run. */
+/** The owner refuses a permit; the attempt has not run. */
 export interface PermitRefusal {
   readonly attempt: AttemptId;
   readonly reason: 'overloaded' | 'deadline_unreachable' | 'no_endpoint';
   readonly retryAfterMs: number;
 }
 
-/** How an attempt ended, as the entry instance saw it. */
+/** How an attempt ended, as observed by the entry instance. */
 export type AttemptOutcome =
   'ok' | 'failed' | 'crashed' | 'timeout' | 'cancelled';
 
-/** Gives a permit back, with what was measured. */
+/** Returns a permit, with the measurements of the attempt. */
 export interface PermitRelease {
   readonly attempt: AttemptId;
   readonly cell: CellId;
@@ -59,28 +60,34 @@
   readonly outcome: AttemptOutcome;
   readonly outputTokens: number;
   readonly promptTokens: number;
-  /** Absent when no token came. */
+  /** Absent if no token arrived. */
   readonly firstTokenMs?: number;
-  /** Mean over the attempt; absent with fewer than two tokens. */
+  /** Mean over the attempt; absent if fewer than two tokens arrived. */
   readonly betweenTokensMs?: number;
 }
 
-/** Permits that an entry instance may use without asking, while none waits. */
+/**
+ * Permits that an entry instance may use without asking the owner. An owner
+ * allots permits only while no request waits in the cell.
+ */
 export interface Allotment {
   readonly cell: CellId;
-  /** Rises with each change by the same owner. */
+  /** Increases with each change by the same owner. */
   readonly sequence: number;
-  /** Tells one life of the owner from the next; 32 bits. */
+  /** Distinguishes the incarnations of the owner; 32 bits. */
   readonly term?: number;
   readonly endpoints: ReadonlyArray<{
     readonly endpoint: EndpointId;
     readonly permits: number;
-    /** The endpoint's whole limit as learnt, for when no owner is reached. */
+    /**
+     * The endpoint's concurrency limit over all instances, as the owner has
+     * learnt it; instances share it when they reach no owner.
+     */
     readonly limit?: number;
   }>;
 }
 
-/** A permit in use, as told to a new owner. */
+/** A permit in use, as an instance reports it to the owner of the cell. */
 export interface PermitInUse {
   readonly attempt: AttemptId;
   readonly cell: CellId;
@@ -89,8 +96,11 @@
   readonly requestClass: RequestClassId;
   readonly tier: number;
   readonly outputTokens: number;
-  /** Begun under an allotment of the owner that is told; false if absent. */
+  /**
+   * Whether it started under an allotment of the owner that gets the report. If
+   * absent, the owner keeps the value it has, or assumes false.
+   */
   readonly underAllotment?: boolean;
-  /** It must run alone; false if absent. */
+  /** Whether it must run alone; false if absent. */
   readonly suspect?: boolean;
 }
--- a/packages/types/src/platform_messages.ts
+++ b/packages/types/src/platform_messages.ts
@@ -1,4 +1,4 @@
-/** What goes to and comes from the platform besides its table. */
+/** Messages to and from the platform, other than access to its table. */
 
 import type {EndpointKind} from './configuration.js';
 import type {
@@ -12,8 +12,8 @@
 } from './ids.js';
 
 /**
- * An order for endpoints: how many there shall be, never how many more, so that
- * an order carried out twice does no harm.
+ * An order for endpoints. It states the total wanted, not a difference, so that
+ * carrying it out twice has the same effect as once.
  */
 export interface EndpointOrder {
   readonly id: OrderId;
@@ -21,21 +21,24 @@
   readonly model: ModelId;
   readonly kind: EndpointKind;
   readonly targetCount: number;
-  /** Endpoints to be given up first when the count falls. */
+  /** Endpoints to release first if the target is below the current count. */
   readonly release: readonly EndpointId[];
   readonly fencingToken: FencingToken;
 }
 
-/** The platform does not check who orders: two with one id are one. */
+/**
+ * Result of sending an order. The platform does not check who sends an order; it
+ * treats orders with the same id as one.
+ */
 export type OrderResult =
   | {readonly kind: 'accepted'}
   | {readonly kind: 'refused'; readonly reason: string}
-  /** No byte left: no connection, or the lease had ended. */
+  /** Nothing was sent: no connection, or the lease had ended. */
   | {readonly kind: 'not_sent'; readonly reason: string}
-  /** May have been carried out. */
+  /** No answer; the order may have been carried out. */
   | {readonly kind: 'unknown'; readonly reason: string};
 
-/** Figures of one client account and request class within a window. */
+/** Usage of one client account and request class within a window. */
 export interface UsageFigures {
   readonly requests: number;
   readonly promptTokens: number;
@@ -47,7 +50,7 @@
   readonly requestClass: string;
 }
 
-/** The sealed figures of one window, reported under the window's id. */
+/** The sealed usage of one window, reported under the id of the window. */
 export interface UsageReport {
   readonly window: UsageWindowId;
   readonly startEpochMs: number;
@@ -63,16 +66,16 @@
 
 export type InstanceState = 'live' | 'leaving';
 
-/** An entry instance in the platform's list, which lags. */
+/** An entry instance in the platform's list, which may be out of date. */
 export interface ListedInstance {
   readonly id: InstanceId;
   readonly dataCentre: DataCentreId;
-  /** `<IP number>:<port>` of its peer listener. */
+  /** `<IP address>:<port>` of its peer listener. */
   readonly peerAddress: string;
   readonly state: InstanceState;
 }
 
-/** An endpoint in the platform's list, which lags. */
+/** An endpoint in the platform's list, which may be out of date. */
 export interface ListedEndpoint {
   readonly id: EndpointId;
   readonly dataCentre: DataCentreId;
--- a/packages/types/src/refusal.ts
+++ b/packages/types/src/refusal.ts
@@ -1,8 +1,8 @@
-/** What a caller is told when a request is not served. */
+/** Refusals: the answers to requests that are not served. */
 
 import type {Verdict} from './verdict.js';
 
-/** Stable codes; docs/OPERATIONS.md explains each. */
+/** Stable refusal codes; docs/OPERATIONS.md explains each. */
 export type RefusalCode =
   | 'invalid_request'
   | 'body_too_large'
@@ -26,12 +26,12 @@
   | 'shutting_down'
   | 'internal';
 
-/** A refusal as the listeners send it out. */
+/** A refusal as callers receive it. */
 export interface Refusal {
   readonly code: RefusalCode;
   readonly message: string;
   readonly verdict: Verdict;
-  /** When coming back helps; absent where it does not. */
+  /** Time after which a retry may succeed; absent if a retry does not help. */
   readonly retryAfterMs?: number;
 }
 
@@ -59,11 +59,11 @@
   internal: 500,
 };
 
-/** All codes, for documentation and checks. */
+/** All refusal codes. */
 export const REFUSAL_CODES = Object.keys(STATUS) as readonly RefusalCode[];
 
 /**
- * The HTTP status that goes with a refusal code (RFC 9110).
+ * The HTTP status of a refusal code (RFC 9110).
  *
  * @example
  * statusOf('overloaded'); // 429
--- a/packages/types/src/table.ts
+++ b/packages/types/src/table.ts
@@ -1,52 +1,52 @@
 /**
- * The platform's transactional table as the agreement protocols see it: rows
- * with versions, and transactions of checks and writes.
+ * The platform's transactional table, as the agreement protocols use it: rows
+ * with versions, and transactions that combine checks and writes.
  */
 
-/** A row; versions start at 1 and rise with each write. */
+/** A row; its version starts at 1 and increases with each write. */
 export interface Row {
   readonly key: string;
   readonly version: number;
   readonly value: unknown;
 }
 
-/** Holds only if the row has this version; 0 means that it must not exist. */
+/** Requires that the row has this version; 0 requires that it is absent. */
 export interface RowCheck {
   readonly key: string;
   readonly version: number;
 }
 
-/** `null` deletes the row. */
+/** Sets the value of a row; `null` deletes the row. */
 export interface RowWrite {
   readonly key: string;
   readonly value: unknown;
 }
 
-/** All checks hold and all writes are done, or nothing is. */
+/** Atomic: if all checks hold, all writes are done, otherwise none is. */
 export interface TableTransaction {
   readonly checks: readonly RowCheck[];
   readonly writes: readonly RowWrite[];
 }
 
 /**
- * - `committed`: all of it took effect.
- * - `conflict`: a check failed, nothing took effect.
- * - `unknown`: no answer; it may have taken effect, or may yet.
+ * - `committed`: all writes took effect.
+ * - `conflict`: a check failed; nothing took effect.
+ * - `unknown`: no answer; the writes may have taken effect, or still may.
  */
 export type TransactionResult =
   | {
       readonly kind: 'committed';
-      /** New version of each row written. */
+      /** The new version of each row that was written. */
       readonly versions: Readonly<Record<string, number>>;
     }
   | {
       readonly kind: 'conflict';
-      /** The rows whose checks failed, as they are; absent ones as version 0. */
+      /** Current state of the rows whose checks failed; version 0 if absent. */
       readonly rows: readonly Row[];
     }
   | {readonly kind: 'unknown'; readonly reason: string};
 
-/** `unavailable`: nothing was learnt. */
+/** `unavailable`: the table could not be read; nothing is known of the rows. */
 export type ReadResult =
   | {readonly kind: 'rows'; readonly rows: readonly Row[]}
   | {readonly kind: 'unavailable'; readonly reason: string};
--- a/packages/types/src/verdict.ts
+++ b/packages/types/src/verdict.ts
@@ -1,24 +1,27 @@
-/** Whether a request may have run at an endpoint. */
+/** Verdicts: whether a request may have run at an endpoint. */
 
 /**
- * - `not_run`: no endpoint got a byte of it; asking again is safe.
- * - `may_have_run`: bytes left for an endpoint and no answer settled it.
+ * - `not_run`: no endpoint received any of it, or the one that did refused it
+ *   without doing any work; a retry is safe.
+ * - `may_have_run`: bytes were sent to an endpoint, and no answer shows whether
+ *   it ran.
  * - `ran`: an endpoint answered it.
  */
 export type Verdict = 'not_run' | 'may_have_run' | 'ran';
 
-const WEIGHT: Readonly<Record<Verdict, number>> = {
+const SEVERITY: Readonly<Record<Verdict, number>> = {
   not_run: 0,
   may_have_run: 1,
   ran: 2,
 };
 
 /**
- * The verdict on a request from those on its attempts.
+ * Combines the verdicts of two attempts into that of the request: the one that
+ * is further from `not_run`.
  *
  * @example
  * worseVerdict('not_run', 'may_have_run'); // 'may_have_run'
  */
 export function worseVerdict(left: Verdict, right: Verdict): Verdict {
-  return WEIGHT[left] >= WEIGHT[right] ? left : right;
+  return SEVERITY[left] >= SEVERITY[right] ? left : right;
 }
