--- a/packages/agreement/src/claim.ts
+++ b/packages/agreement/src/claim.ts
@@ -25,7 +25,7 @@
   type ClaimOwner,
   type ClaimStatus,
   type ClaimValue,
-  type KeptAnswer,
+  type StoredAnswer,
 } from './claim_rows.js';
 import {
   findRow,
@@ -40,7 +40,7 @@
 export type ClaimDecision =
   /** This attempt holds the claim: send once, then feed `attempt_ended`. */
   | {readonly kind: 'send'}
-  | {readonly kind: 'replay'; readonly answer: KeptAnswer}
+  | {readonly kind: 'replay'; readonly answer: StoredAnswer}
   /** The key was used with other content. */
   | {readonly kind: 'content_conflict'}
   | {readonly kind: 'in_progress'; readonly retryAfterMs: number}
@@ -55,7 +55,7 @@
 /** How a sent attempt ended; `not_run` only if that is certain. */
 export type AttemptEnd =
   | {readonly kind: 'not_run'}
-  | {readonly kind: 'ran'; readonly answer: KeptAnswer}
+  | {readonly kind: 'ran'; readonly answer: StoredAnswer}
   | {readonly kind: 'unknown'; readonly verdict: 'may_have_run' | 'ran'};
 
 export type ClaimEvent =
--- a/packages/agreement/src/claim_rows.ts
+++ b/packages/agreement/src/claim_rows.ts
@@ -16,7 +16,7 @@
 import {digestOf} from './canonical_json.js';
 
 /** A stored answer to replay; `object` names a body in the object store. */
-export interface KeptAnswer {
+export interface StoredAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body:
@@ -37,7 +37,7 @@
 export type ClaimStatus =
   /** Claimed; it may be running. */
   | {readonly kind: 'claimed'}
-  | {readonly kind: 'answered'; readonly answer: KeptAnswer}
+  | {readonly kind: 'answered'; readonly answer: StoredAnswer}
   /** Sent; no answer showed whether it ran, or its answer couldn't be stored. */
   | {readonly kind: 'unknown'; readonly verdict: 'may_have_run' | 'ran'}
   /** Certainly not run; the key can be claimed again. */
--- a/packages/cli/src/operations_page.test.ts
+++ b/packages/cli/src/operations_page.test.ts
@@ -28,9 +28,9 @@
 
 test('the page lists each setting with its default', t => {
   const rows = rowsUnder('Settings');
-  for (const {path, standard, description} of listSettings()) {
+  for (const {path, defaultText, description} of listSettings()) {
     const plain = description.replace(/`/g, '');
-    t.deepEqual(rows.get(path), [standard, plain], path);
+    t.deepEqual(rows.get(path), [defaultText, plain], path);
   }
 });
 
--- a/packages/entry/src/admit/claim_cleanup_task.test.ts
+++ b/packages/entry/src/admit/claim_cleanup_task.test.ts
@@ -23,7 +23,7 @@
   let inCharge = false;
   const task = new ClaimCleanupTask({
     platform,
-    isInCharge: () => inCharge,
+    holdsLease: () => inCharge,
     nowEpochMs: () => 2000,
   });
   await task.cleanNext();
--- a/packages/entry/src/admit/claim_cleanup_task.ts
+++ b/packages/entry/src/admit/claim_cleanup_task.ts
@@ -17,7 +17,7 @@
    * Whether this instance cleans up. One instance is enough; two do no harm,
    * since each deletion is conditional on the version that was read.
    */
-  readonly isInCharge: () => boolean;
+  readonly holdsLease: () => boolean;
   readonly nowEpochMs?: () => number;
 }
 
@@ -41,8 +41,8 @@
    * shard's turn comes again, a day later.
    */
   async cleanNext(): Promise<void> {
-    const {platform, isInCharge} = this.options;
-    if (!isInCharge()) return;
+    const {platform, holdsLease} = this.options;
+    if (!holdsLease()) return;
     const prefix = claimShardPrefix(this.shard);
     this.shard = (this.shard + 1) % CLAIM_SHARD_COUNT;
     const scanned = await platform.scanRows(prefix);
--- a/packages/entry/src/admit/in_flight_requests.ts
+++ b/packages/entry/src/admit/in_flight_requests.ts
@@ -79,7 +79,7 @@
    * not be aborted go on: they may have run already, and aborting them would
    * only hide the outcome.
    */
-  endThoseWithout(isInForce: (keyHash: KeyHash) => boolean): void {
+  abortWithdrawn(isInForce: (keyHash: KeyHash) => boolean): void {
     for (const request of this.requests.values()) {
       if (isInForce(request.keyHash)) continue;
       const hasStarted = request.phase !== 'waiting';
@@ -94,13 +94,13 @@
   }
 
   /** Resolves when no request is in flight. */
-  async whenNone(): Promise<void> {
+  async whenEmpty(): Promise<void> {
     if (this.requests.size === 0) return;
     await new Promise<void>(resolve => this.emptyWaiters.push(resolve));
   }
 
   /** Aborts all requests that are left when a shutdown's grace time is over. */
-  endAll(reason: RequestError): void {
+  abortAll(reason: RequestError): void {
     for (const request of this.requests.values()) request.abort.abort(reason);
   }
 
--- a/packages/entry/src/admit/claim_desk.ts
+++ b/packages/entry/src/admit/keyed_request_runner.ts
@@ -20,7 +20,7 @@
 import {refusalOf} from '../answer/refusal_response.js';
 import type {ClusterView} from '../choose/cluster_view.js';
 import type {TableExecutor} from '../configure/table_executor.js';
-import type {KeptAnswers} from './kept_answers.js';
+import type {StoredAnswers} from './stored_answers.js';
 import type {AdmittedRequest} from './request_intake.js';
 import {ResponseRecorder} from './response_recorder.js';
 
@@ -37,11 +37,11 @@
   readonly response: ServerResponse;
 }
 
-/** Options of {@link ClaimDesk}. */
-export interface ClaimDeskOptions {
+/** Options of {@link KeyedRequestRunner}. */
+export interface KeyedRequestRunnerOptions {
   readonly executor: TableExecutor;
   readonly view: ClusterView;
-  readonly answers: KeptAnswers;
+  readonly answers: StoredAnswers;
 }
 
 /**
@@ -51,10 +51,10 @@
  * repetitions of the key are refused with "in progress" until the claim is
  * settled.
  */
-export class ClaimDesk {
+export class KeyedRequestRunner {
   private readonly settling = new Set<Promise<void>>();
 
-  constructor(private readonly options: ClaimDeskOptions) {}
+  constructor(private readonly options: KeyedRequestRunnerOptions) {}
 
   /** Resolves when all pending claims are settled; a shutdown waits for it. */
   async whenSettled(): Promise<void> {
--- a/packages/entry/src/admit/kept_answers.ts
+++ b/packages/entry/src/admit/stored_answers.ts
@@ -2,7 +2,7 @@
 
 import {isUtf8} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
-import type {KeptAnswer} from '@snipestage/agreement/claim_rows.js';
+import type {StoredAnswer} from '@snipestage/agreement/claim_rows.js';
 import {RequestError} from '@snipestage/errors/request_error.js';
 import type {Platform} from '@snipestage/platform/platform.js';
 import type {AttemptId, RequestId} from '@snipestage/types/ids.js';
@@ -15,7 +15,7 @@
  * Small UTF-8 answers are stored in the claim's row, others in the object
  * store.
  */
-export class KeptAnswers {
+export class StoredAnswers {
   constructor(private readonly platform: Platform) {}
 
   /**
@@ -25,7 +25,7 @@
   async store(
     attempt: AttemptId,
     answer: RecordedAnswer,
-  ): Promise<KeptAnswer | undefined> {
+  ): Promise<StoredAnswer | undefined> {
     const {status, headers, body} = answer;
     if (body.length <= MAX_INLINE_BYTES && isUtf8(body)) {
       const text = body.toString('utf8');
@@ -44,7 +44,7 @@
    * answer's object is absent, or while the object store can't be read.
    */
   async replay(
-    answer: KeptAnswer,
+    answer: StoredAnswer,
     response: ServerResponse,
     id: RequestId,
   ): Promise<void> {
@@ -59,7 +59,7 @@
     response.end(body);
   }
 
-  private async read(answer: KeptAnswer): Promise<Buffer> {
+  private async read(answer: StoredAnswer): Promise<Buffer> {
     if (answer.body.kind === 'inline') return Buffer.from(answer.body.text);
     const object = await this.platform.getObject(answer.body.key);
     if (object.kind === 'found') return object.body;
--- a/packages/entry/src/choose/cell_clients.ts
+++ b/packages/entry/src/choose/cell_clients.ts
@@ -13,7 +13,7 @@
   InstanceId,
 } from '@snipestage/types/ids.js';
 import type {
-  PermitAsk,
+  CellPermitRequest,
   PermitRefusal,
   PermitRelease,
 } from '@snipestage/types/permits.js';
@@ -63,7 +63,7 @@
     for (const id of this.cells.keys()) this.configureCell(id);
   }
 
-  ask(ask: PermitAsk, listener: PermitListener): void {
+  ask(ask: CellPermitRequest, listener: PermitListener): void {
     const {client} = this.getOrCreateCell(ask.cell);
     this.listeners.set(ask.attempt, listener);
     this.carryOut(ask.cell, client.request(ask, this.options.clock()));
--- a/packages/entry/src/choose/cell_permits.ts
+++ b/packages/entry/src/choose/cell_permits.ts
@@ -13,7 +13,10 @@
   type EndpointId,
   type InstanceId,
 } from '@snipestage/types/ids.js';
-import type {PermitAsk, PermitRefusal} from '@snipestage/types/permits.js';
+import type {
+  CellPermitRequest,
+  PermitRefusal,
+} from '@snipestage/types/permits.js';
 import type {MonotonicClock} from '../clock.js';
 import type {ConfigurationStore} from '../configure/configuration_store.js';
 import type {EndpointDirectory} from '../endpoints/endpoint_directory.js';
@@ -173,7 +176,7 @@
     request: PermitRequest,
     attempt: AttemptId,
     cell: CellId,
-  ): PermitAsk {
+  ): CellPermitRequest {
     const {requestClass} = request;
     return {
       attempt,
--- a/packages/entry/src/choose/permit_search.ts
+++ b/packages/entry/src/choose/permit_search.ts
@@ -2,14 +2,17 @@
 
 import {RequestError} from '@snipestage/errors/request_error.js';
 import type {CellId, EndpointId} from '@snipestage/types/ids.js';
-import type {PermitAsk, PermitRefusal} from '@snipestage/types/permits.js';
+import type {
+  CellPermitRequest,
+  PermitRefusal,
+} from '@snipestage/types/permits.js';
 import type {MonotonicClock} from '../clock.js';
 import type {CellClients, PermitResult} from './cell_clients.js';
 
 /** A cell and the permit request for it. */
 export interface CandidateCell {
   readonly cell: CellId;
-  readonly ask: PermitAsk;
+  readonly ask: CellPermitRequest;
 }
 
 export type SearchResult =
--- a/packages/entry/src/choose/permits.ts
+++ b/packages/entry/src/choose/permits.ts
@@ -48,7 +48,7 @@
    * Whether the connection broke before the answer was complete, as when the
    * endpoint crashes.
    */
-  readonly brokeOff?: boolean;
+  readonly connectionBroke?: boolean;
   readonly promptTokens?: number;
   readonly outputTokens?: number;
   readonly firstTokenMs?: number;
--- a/packages/entry/src/choose/suspect_guard.test.ts
+++ b/packages/entry/src/choose/suspect_guard.test.ts
@@ -42,7 +42,7 @@
     remainingMs: 60_000,
     limit: {kind: 'timeout', timeoutMs: 60_000},
   } as unknown as PermitRequest;
-  const crash = {outcome: 'crashed', brokeOff: true} as const;
+  const crash = {outcome: 'crashed', connectionBroke: true} as const;
   (await guard.acquire(request, signal)).release(crash);
   const trial = await guard.acquire(request, signal);
   t.true(permits.recorded[1].suspect);
--- a/packages/entry/src/choose/suspect_guard.ts
+++ b/packages/entry/src/choose/suspect_guard.ts
@@ -122,7 +122,7 @@
     report: AttemptReport,
   ): void {
     if (report.outcome === 'ok') this.table.markFinished(ran.fingerprint);
-    if (report.brokeOff === true) this.reportCrash(permit, ran.alone);
+    if (report.connectionBroke === true) this.reportCrash(permit, ran.alone);
     const nowMs = this.options.clock();
     const changes = this.table.takeChanges(nowMs);
     if (changes.length > 0) this.options.publish(changes);
--- a/packages/entry/src/compose/bind_handlers.ts
+++ b/packages/entry/src/compose/bind_handlers.ts
@@ -6,9 +6,9 @@
 import type {EntrySettings} from '@snipestage/settings/entry_settings.js';
 import type {Container} from 'inversify';
 import {UsageCounterTask} from '../account/usage_counter_task.js';
-import {ClaimDesk} from '../admit/claim_desk.js';
+import {KeyedRequestRunner} from '../admit/keyed_request_runner.js';
 import {InFlightRequests} from '../admit/in_flight_requests.js';
-import {KeptAnswers} from '../admit/kept_answers.js';
+import {StoredAnswers} from '../admit/stored_answers.js';
 import {RequestIntake} from '../admit/request_intake.js';
 import {StopGate} from '../admit/stop_gate.js';
 import {ClusterView} from '../choose/cluster_view.js';
@@ -23,13 +23,14 @@
 
 function bindClaims(container: Container): void {
   container
-    .bind(KeptAnswers)
-    .toResolvedValue(platform => new KeptAnswers(platform), [Platform]);
+    .bind(StoredAnswers)
+    .toResolvedValue(platform => new StoredAnswers(platform), [Platform]);
   container
-    .bind(ClaimDesk)
+    .bind(KeyedRequestRunner)
     .toResolvedValue(
-      (executor, view, answers) => new ClaimDesk({executor, view, answers}),
-      [TableExecutor, ClusterView, KeptAnswers],
+      (executor, view, answers) =>
+        new KeyedRequestRunner({executor, view, answers}),
+      [TableExecutor, ClusterView, StoredAnswers],
     );
 }
 
@@ -56,7 +57,13 @@
     .toResolvedValue(
       (store, runner, claims, gate, usage) =>
         new ModelHandler({store, runner, claims, gate, usage, maxBodyBytes}),
-      [ConfigurationStore, ModelRunner, ClaimDesk, StopGate, UsageCounterTask],
+      [
+        ConfigurationStore,
+        ModelRunner,
+        KeyedRequestRunner,
+        StopGate,
+        UsageCounterTask,
+      ],
     );
   container
     .bind(ServiceHandler)
@@ -66,7 +73,7 @@
       [
         ConfigurationStore,
         ServiceRunner,
-        ClaimDesk,
+        KeyedRequestRunner,
         StopGate,
         UsageCounterTask,
       ],
--- a/packages/entry/src/compose/bind_usage.ts
+++ b/packages/entry/src/compose/bind_usage.ts
@@ -64,7 +64,7 @@
     (lease, platform) =>
       new ClaimCleanupTask({
         platform,
-        isInCharge: () => lease.held !== undefined,
+        holdsLease: () => lease.held !== undefined,
       }),
     [USAGE_LEASE, Platform],
   );
--- a/packages/entry/src/entry_process.ts
+++ b/packages/entry/src/entry_process.ts
@@ -12,7 +12,7 @@
 import {UsageReportTask} from './account/usage_report_task.js';
 import {UsageCounterTask} from './account/usage_counter_task.js';
 import {ClaimCleanupTask} from './admit/claim_cleanup_task.js';
-import {ClaimDesk} from './admit/claim_desk.js';
+import {KeyedRequestRunner} from './admit/keyed_request_runner.js';
 import {InFlightRequests} from './admit/in_flight_requests.js';
 import {RequestIntake} from './admit/request_intake.js';
 import {StopGate} from './admit/stop_gate.js';
@@ -169,7 +169,7 @@
 
   private async closeAll(): Promise<void> {
     const ticketsDone = this.container.get(TicketService).close();
-    await this.container.get(ClaimDesk).whenSettled();
+    await this.container.get(KeyedRequestRunner).whenSettled();
     await this.container.get(UsageCounterTask).stop(FINAL_WRITES_TIMEOUT_MS);
     await ticketsDone;
     this.container.get(RevisionTask).stop();
@@ -214,7 +214,7 @@
       this.logger.info('configuration_in_force', {
         revision: configuration.revision,
       });
-      inFlight.endThoseWithout(
+      inFlight.abortWithdrawn(
         hash => store.keys.findByHash(hash) !== undefined,
       );
     });
@@ -266,7 +266,7 @@
     dump.add('plan', () => this.container.get(PlanTask).snapshot());
     dump.add('peers', () => this.container.get(PeerNetwork).snapshot());
     dump.add('claims', () => ({
-      settling: this.container.get(ClaimDesk).settlingCount,
+      settling: this.container.get(KeyedRequestRunner).settlingCount,
     }));
     dump.add('usage', () => ({
       counters: this.container.get(UsageCounterTask).snapshot(),
--- a/packages/entry/src/listen/model_handler.ts
+++ b/packages/entry/src/listen/model_handler.ts
@@ -5,7 +5,7 @@
 import type {AttemptLimit} from '@snipestage/policy/stop_admission.js';
 import type {Model} from '@snipestage/types/configuration.js';
 import type {UsageCounterTask} from '../account/usage_counter_task.js';
-import type {ClaimDesk} from '../admit/claim_desk.js';
+import type {KeyedRequestRunner} from '../admit/keyed_request_runner.js';
 import {idempotencyKeyOf} from '../identify/idempotency_key.js';
 import type {AdmittedRequest} from '../admit/request_intake.js';
 import type {StopGate} from '../admit/stop_gate.js';
@@ -27,7 +27,7 @@
 export interface ModelHandlerOptions {
   readonly store: ConfigurationStore;
   readonly runner: ModelRunner;
-  readonly claims: ClaimDesk;
+  readonly claims: KeyedRequestRunner;
   readonly gate: StopGate;
   readonly usage: UsageCounterTask;
   readonly maxBodyBytes: number;
--- a/packages/entry/src/listen/service_handler.ts
+++ b/packages/entry/src/listen/service_handler.ts
@@ -5,7 +5,7 @@
 import type {AttemptLimit} from '@snipestage/policy/stop_admission.js';
 import type {Service} from '@snipestage/types/configuration.js';
 import type {UsageCounterTask} from '../account/usage_counter_task.js';
-import type {ClaimDesk} from '../admit/claim_desk.js';
+import type {KeyedRequestRunner} from '../admit/keyed_request_runner.js';
 import {mayDiscard} from '../admit/response_recorder.js';
 import {idempotencyKeyOf} from '../identify/idempotency_key.js';
 import type {AdmittedRequest} from '../admit/request_intake.js';
@@ -22,7 +22,7 @@
 export interface ServiceHandlerOptions {
   readonly store: ConfigurationStore;
   readonly runner: ServiceRunner;
-  readonly claims: ClaimDesk;
+  readonly claims: KeyedRequestRunner;
   readonly gate: StopGate;
   readonly usage: UsageCounterTask;
   readonly maxBodyBytes: number;
--- a/packages/entry/src/operate/shutdown.ts
+++ b/packages/entry/src/operate/shutdown.ts
@@ -85,7 +85,7 @@
     await sleep(balancerLagMs);
     await this.options.onNoNewWork();
     await Promise.race([this.whenServed(), graceOver]);
-    await inFlight.whenNone();
+    await inFlight.whenEmpty();
     this.hasEnded = true;
     // The shutdown doesn't wait for requests any more: one that started now
     // would be cut off.
@@ -101,7 +101,7 @@
   private async whenServed(): Promise<void> {
     const {inFlight, whenAnswered} = this.options;
     do {
-      await inFlight.whenNone();
+      await inFlight.whenEmpty();
       await whenAnswered();
     } while (inFlight.count > 0);
   }
@@ -110,7 +110,7 @@
     const {inFlight, logger} = this.options;
     if (this.hasEnded) return;
     logger.warn('shutdown_grace_over', {inFlight: inFlight.count});
-    inFlight.endAll(shuttingDown(STOP_RETRY_AFTER_MS));
+    inFlight.abortAll(shuttingDown(STOP_RETRY_AFTER_MS));
   }
 }
 
--- a/packages/entry/src/send/model_runner.ts
+++ b/packages/entry/src/send/model_runner.ts
@@ -134,7 +134,7 @@
   ): Promise<EndpointError | undefined> {
     const meter = new AttemptMeter(this.options.clock);
     let outcome: AttemptOutcome = 'failed';
-    let brokeOff = false;
+    let connectionBroke = false;
     try {
       const error = await this.readOrResume(
         work,
@@ -144,13 +144,13 @@
         meter,
       );
       outcome = error === undefined ? 'ok' : outcomeOf(error);
-      brokeOff = error?.kind === 'broken';
+      connectionBroke = error?.kind === 'broken';
       if (error?.kind === 'cancelled') this.cancel(work, permit, progress);
       return error;
     } finally {
       permit.release({
         outcome,
-        brokeOff,
+        connectionBroke,
         promptTokens: progress.promptTokens,
         outputTokens: meter.outputTokens,
         firstTokenMs: meter.firstTokenMs,
--- a/packages/entry/src/send/service_runner.ts
+++ b/packages/entry/src/send/service_runner.ts
@@ -115,8 +115,8 @@
         permit.release({outcome: 'failed'});
         throw error;
       }
-      const brokeOff = error.kind === 'broken';
-      permit.release({outcome: outcomeOf(error), brokeOff});
+      const connectionBroke = error.kind === 'broken';
+      permit.release({outcome: outcomeOf(error), connectionBroke});
       return {kind: 'failed', error};
     }
   }
--- a/packages/peer/src/frame_codec.ts
+++ b/packages/peer/src/frame_codec.ts
@@ -12,7 +12,7 @@
 } from '@snipestage/types/ids.js';
 import type {Member, MemberState} from '@snipestage/types/member.js';
 import type {
-  PermitAsk,
+  CellPermitRequest,
   PermitGrant,
   PermitInUse,
   PermitRefusal,
@@ -187,7 +187,7 @@
 
 function decodeRecord(wire: WireRecordOutput): PeerRecord | undefined {
   if (wire.ask) {
-    const ask = withoutPresenceMarks(wire.ask) as unknown as PermitAsk;
+    const ask = withoutPresenceMarks(wire.ask) as unknown as CellPermitRequest;
     return {kind: 'ask', ask};
   }
   if (wire.withdraw) {
--- a/packages/peer/src/records.ts
+++ b/packages/peer/src/records.ts
@@ -12,7 +12,7 @@
 } from '@snipestage/types/ids.js';
 import type {
   Allotment,
-  PermitAsk,
+  CellPermitRequest,
   PermitGrant,
   PermitInUse,
   PermitRefusal,
@@ -33,7 +33,7 @@
  * which they were sent; a stream that breaks loses those not yet delivered.
  */
 export type PeerRecord =
-  | {readonly kind: 'ask'; readonly ask: PermitAsk}
+  | {readonly kind: 'ask'; readonly ask: CellPermitRequest}
   | {
       readonly kind: 'withdraw';
       readonly cell: CellId;
--- a/packages/policy/src/baseline_choices.ts
+++ b/packages/policy/src/baseline_choices.ts
@@ -1,13 +1,16 @@
 /** Baseline endpoint choices, for comparison. */
 
-import type {PermitAsk} from '@snipestage/types/permits.js';
+import type {CellPermitRequest} from '@snipestage/types/permits.js';
 import {EndpointChoice, type EndpointView} from './endpoint_choice.js';
 
 /** Each endpoint in turn, in the order of ids. */
 export class RoundRobinChoice extends EndpointChoice {
   private last = '';
 
-  choose(_ask: PermitAsk, candidates: readonly EndpointView[]): EndpointView {
+  choose(
+    _ask: CellPermitRequest,
+    candidates: readonly EndpointView[],
+  ): EndpointView {
     const sorted = [...candidates].sort((a, b) => (a.id < b.id ? -1 : 1));
     const next = sorted.find(({id}) => id > this.last) ?? sorted[0];
     this.last = next.id;
@@ -17,7 +20,10 @@
 
 /** The endpoint with the fewest requests in flight. */
 export class LeastInFlightChoice extends EndpointChoice {
-  choose(_ask: PermitAsk, candidates: readonly EndpointView[]): EndpointView {
+  choose(
+    _ask: CellPermitRequest,
+    candidates: readonly EndpointView[],
+  ): EndpointView {
     return candidates.reduce((best, view) =>
       view.inFlight < best.inFlight ? view : best,
     );
--- a/packages/policy/src/cell_dispatch.ts
+++ b/packages/policy/src/cell_dispatch.ts
@@ -1,7 +1,7 @@
 /** Grants permits to the requests that wait in a cell, in queue order. */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
-import type {PermitAsk} from '@snipestage/types/permits.js';
+import type {CellPermitRequest} from '@snipestage/types/permits.js';
 import type {CellState} from './cell_state.js';
 import type {WaitingRequest} from './dispatch_queue.js';
 import type {EndpointView} from './endpoint_choice.js';
@@ -37,7 +37,7 @@
   }
 
   private place(
-    ask: PermitAsk,
+    ask: CellPermitRequest,
     views: readonly EndpointView[],
     nowMs: number,
   ): EndpointId | undefined {
@@ -80,7 +80,7 @@
  * Requests with equal keys are treated as equally placeable: once one of them
  * can't be placed, the others are skipped. All suspects share one key.
  */
-function placementKeyOf(ask: PermitAsk): string {
+function placementKeyOf(ask: CellPermitRequest): string {
   if (ask.suspect) return 'suspect';
   return `${ask.cheapAllowed} ${ask.excluded.join(' ')}`;
 }
--- a/packages/policy/src/cell_endpoints.ts
+++ b/packages/policy/src/cell_endpoints.ts
@@ -1,7 +1,7 @@
 /** Endpoints of a cell, their limits and their eligibility for requests. */
 
 import type {AttemptId, EndpointId} from '@snipestage/types/ids.js';
-import type {PermitAsk} from '@snipestage/types/permits.js';
+import type {CellPermitRequest} from '@snipestage/types/permits.js';
 import type {CellEndpoint, ReportedLoad} from './cell_messages.js';
 import {isEligible, type EndpointView} from './endpoint_choice.js';
 import type {LimitPolicy, LimitSnapshot} from './limit_policy.js';
@@ -79,7 +79,7 @@
   }
 
   /** Whether any endpoint is eligible for the request, whatever its load. */
-  canEverRun(ask: PermitAsk): boolean {
+  canEverRun(ask: CellPermitRequest): boolean {
     return [...this.states.values()].some(({config}) =>
       isEligible(ask, config),
     );
@@ -89,7 +89,7 @@
    * Earliest time at which an eligible endpoint may receive work; `Infinity` if
    * none is eligible.
    */
-  usableAtMs(ask: PermitAsk, nowMs: number): number {
+  usableAtMs(ask: CellPermitRequest, nowMs: number): number {
     let earliest = Infinity;
     for (const {config, limit} of this.states.values()) {
       if (!isEligible(ask, config)) continue;
@@ -117,7 +117,10 @@
   }
 
   /** The views of endpoints that are eligible for the request. */
-  eligible(ask: PermitAsk, views: readonly EndpointView[]): EndpointView[] {
+  eligible(
+    ask: CellPermitRequest,
+    views: readonly EndpointView[],
+  ): EndpointView[] {
     return views.filter(view => this.isEligibleAt(ask, view.id));
   }
 
@@ -127,7 +130,10 @@
    * work always waiting it would never become empty by chance, and the suspect
    * would never run.
    */
-  claimForSuspect(ask: PermitAsk, nowMs: number): EndpointId | undefined {
+  claimForSuspect(
+    ask: CellPermitRequest,
+    nowMs: number,
+  ): EndpointId | undefined {
     const reserved = this.book.reserved();
     const claimed = this.claimOf(ask) ?? this.claimLeastUsed(ask, reserved);
     if (claimed === undefined) return undefined;
@@ -198,12 +204,12 @@
     state.limit.reconfigure(maxConcurrency);
   }
 
-  private isEligibleAt(ask: PermitAsk, endpoint: EndpointId): boolean {
+  private isEligibleAt(ask: CellPermitRequest, endpoint: EndpointId): boolean {
     const state = this.states.get(endpoint);
     return state !== undefined && isEligible(ask, state.config);
   }
 
-  private claimOf(ask: PermitAsk): EndpointState | undefined {
+  private claimOf(ask: CellPermitRequest): EndpointState | undefined {
     for (const state of this.states.values()) {
       if (state.suspect !== ask.attempt) continue;
       if (isEligible(ask, state.config)) return state;
@@ -216,7 +222,7 @@
    * Allows one claim at a time, so that suspects do not take the whole cell.
    */
   private claimLeastUsed(
-    ask: PermitAsk,
+    ask: CellPermitRequest,
     reserved: ReadonlyMap<EndpointId, number>,
   ): EndpointState | undefined {
     const states = [...this.states.values()];
--- a/packages/policy/src/cell_messages.ts
+++ b/packages/policy/src/cell_messages.ts
@@ -7,7 +7,7 @@
 import type {AttemptId, EndpointId, InstanceId} from '@snipestage/types/ids.js';
 import type {
   Allotment,
-  PermitAsk,
+  CellPermitRequest,
   PermitGrant,
   PermitInUse,
   PermitRefusal,
@@ -40,7 +40,7 @@
 
 /** A message to the owner of a cell. */
 export type CellInput =
-  | {readonly kind: 'ask'; readonly ask: PermitAsk}
+  | {readonly kind: 'ask'; readonly ask: CellPermitRequest}
   /** The caller hung up or its key was withdrawn while the request waited. */
   | {readonly kind: 'withdraw'; readonly attempt: AttemptId}
   | {
--- a/packages/policy/src/cell_owner.test.ts
+++ b/packages/policy/src/cell_owner.test.ts
@@ -7,7 +7,7 @@
   FIRST,
   SECOND,
   grantedOf,
-  makeAsk,
+  makePermitRequest,
   makeClass,
   makeEndpoint,
   makeRelease,
@@ -34,10 +34,13 @@
 
 test('the lowest tier number is granted first, whatever came first', t => {
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 1})]);
-  const first = makeAsk('running');
+  const first = makePermitRequest('running');
   owner.receive({kind: 'ask', ask: first}, 0);
   for (const tier of [2, 1, 0]) {
-    owner.receive({kind: 'ask', ask: makeAsk(`waits-${tier}`, {tier})}, 1);
+    owner.receive(
+      {kind: 'ask', ask: makePermitRequest(`waits-${tier}`, {tier})},
+      1,
+    );
   }
   const order: string[] = [];
   let attempt = 'running';
@@ -52,7 +55,7 @@
 
 test('a repeated request gets the same answer and no second permit', t => {
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 2})]);
-  const ask = makeAsk('one');
+  const ask = makePermitRequest('one');
   const before = owner.receive({kind: 'ask', ask}, 0);
   const again = owner.receive({kind: 'ask', ask}, 5);
   t.deepEqual(again, before);
@@ -66,12 +69,15 @@
   const earlierOutputs = ['running', 'low-old', 'low-new'].flatMap(
     (name, index) =>
       owner.receive(
-        {kind: 'ask', ask: makeAsk(name, {tier: index === 0 ? 0 : 2})},
+        {
+          kind: 'ask',
+          ask: makePermitRequest(name, {tier: index === 0 ? 0 : 2}),
+        },
         index,
       ),
   );
   t.deepEqual(refusedOf(earlierOutputs), []);
-  const ask = makeAsk('high', {tier: 0});
+  const ask = makePermitRequest('high', {tier: 0});
   t.deepEqual(refusedOf(owner.receive({kind: 'ask', ask}, 9)), [
     'low-new overloaded',
   ]);
@@ -81,13 +87,13 @@
   // A burst fills the queue. Without this a caller would wait until its
   // deadline only to be refused then.
   const owner = createOwner([makeEndpoint('e1', {maxConcurrency: 1})]);
-  owner.receive({kind: 'ask', ask: makeAsk('a')}, 0);
+  owner.receive({kind: 'ask', ask: makePermitRequest('a')}, 0);
   const release = makeRelease('a', 'e1');
   owner.receive({kind: 'release', instance: FIRST, release}, 1000);
   for (let index = 0; index < 5; index++) {
-    owner.receive({kind: 'ask', ask: makeAsk(`b${index}`)}, 1000);
+    owner.receive({kind: 'ask', ask: makePermitRequest(`b${index}`)}, 1000);
   }
-  const ask = makeAsk('hurried', {remainingMs: 2000});
+  const ask = makePermitRequest('hurried', {remainingMs: 2000});
   const outputs = owner.receive({kind: 'ask', ask}, 1000);
   t.deepEqual(refusedOf(outputs), ['hurried deadline_unreachable']);
   const [output] = outputs;
@@ -99,7 +105,7 @@
     makeEndpoint('cheap', {kind: 'cheap'}),
     makeEndpoint('leaving', {leaving: true}),
   ]);
-  const outputs = owner.receive({kind: 'ask', ask: makeAsk('a')}, 0);
+  const outputs = owner.receive({kind: 'ask', ask: makePermitRequest('a')}, 0);
   t.deepEqual(refusedOf(outputs), ['a no_endpoint']);
 });
 
@@ -108,7 +114,7 @@
   // passes between the tokens; limits then rise to the maximum and all streams
   // slow down.
   const owner = createOwner([makeEndpoint('e1')]);
-  const ask = makeAsk('a');
+  const ask = makePermitRequest('a');
   owner.receive({kind: 'ask', ask}, 0);
   const report = (outputTokens: number, elapsedMs: number) => {
     const progress = [{attempt: ask.attempt, outputTokens, elapsedMs}];
@@ -126,7 +132,7 @@
   // The field is lost in transit. If the permit counted in addition to the
   // allotment it is part of, each running request would take two permits.
   const owner = createOwner([makeEndpoint('e1')]);
-  const permit = {...makeAsk('a'), endpoint: makeEndpoint('e1').id};
+  const permit = {...makePermitRequest('a'), endpoint: makeEndpoint('e1').id};
   const startedPermit = {...permit, outputTokens: 0, underAllotment: true};
   owner.receive(
     {kind: 'started', instance: FIRST, permits: [startedPermit]},
@@ -141,12 +147,12 @@
   // A request was in flight when its endpoint crashed. If it ran next to
   // others, the next crash would end their streams as well.
   const owner = createOwner([makeEndpoint('e1'), makeEndpoint('e2')]);
-  const ask = makeAsk('suspect', {suspect: true});
+  const ask = makePermitRequest('suspect', {suspect: true});
   const [grant] = owner.receive({kind: 'ask', ask}, 0);
   t.is(grant.kind, 'grant');
   const endpoints = new Set<string>();
   for (let index = 0; index < 6; index++) {
-    const other = makeAsk(`other-${index}`);
+    const other = makePermitRequest(`other-${index}`);
     for (const output of owner.receive({kind: 'ask', ask: other}, 1)) {
       if (output.kind === 'grant') endpoints.add(output.grant.endpoint);
     }
@@ -173,10 +179,10 @@
   owner.receive({kind: 'instance_joined', instance: FIRST}, 0);
   owner.receive({kind: 'instance_joined', instance: SECOND}, 0);
   t.deepEqual(
-    grantedOf(owner.receive({kind: 'ask', ask: makeAsk('new')}, 1)),
+    grantedOf(owner.receive({kind: 'ask', ask: makePermitRequest('new')}, 1)),
     [],
   );
-  const running = makeAsk('old');
+  const running = makePermitRequest('old');
   const permit = {...running, endpoint: makeEndpoint('e1').id, outputTokens: 3};
   const inUseMessage = {
     kind: 'in_use',
--- a/packages/policy/src/cell_owner.ts
+++ b/packages/policy/src/cell_owner.ts
@@ -1,7 +1,7 @@
 /** The owner of a cell: decides what runs next on its endpoints. */
 
 import type {CellId, InstanceId} from '@snipestage/types/ids.js';
-import type {PermitAsk} from '@snipestage/types/permits.js';
+import type {CellPermitRequest} from '@snipestage/types/permits.js';
 import {CellDispatch} from './cell_dispatch.js';
 import type {EndpointSnapshot} from './cell_endpoints.js';
 import type {CellInput, CellOutput} from './cell_messages.js';
@@ -171,7 +171,7 @@
   }
 
   /** Requests are repeated after a change of owner or a lost frame. */
-  private ask(ask: PermitAsk, nowMs: number): void {
+  private ask(ask: CellPermitRequest, nowMs: number): void {
     const {book, policy, allotments, meter} = this.state;
     const held = book.get(ask.attempt);
     if (held !== undefined) return this.state.sendGrant(held);
@@ -191,7 +191,7 @@
     this.refusals.shed(request);
   }
 
-  private toWaiting(ask: PermitAsk, nowMs: number): WaitingRequest {
+  private toWaiting(ask: CellPermitRequest, nowMs: number): WaitingRequest {
     return {
       ask,
       instance: ask.instance,
--- a/packages/policy/src/cell_properties.test.ts
+++ b/packages/policy/src/cell_properties.test.ts
@@ -12,7 +12,7 @@
 import {createSeededRandom} from './random_source.js';
 import {
   CELL,
-  makeAsk,
+  makePermitRequest,
   makeClass,
   makeEndpoint,
   makeRelease,
@@ -205,7 +205,7 @@
     const instance = INSTANCES[step.instance];
     const attempt = `t${step.tier}-${this.requests++}`;
     this.waiting.set(attempt, instance);
-    const ask = makeAsk(attempt, {
+    const ask = makePermitRequest(attempt, {
       instance,
       tier: step.tier,
       account: `account-${step.account}`,
@@ -230,7 +230,7 @@
     const instance = this.waiting.get(attempt)!;
     this.waiting.delete(attempt);
     this.end(attempt, 'hung up');
-    const id = makeAsk(attempt).attempt;
+    const id = makePermitRequest(attempt).attempt;
     const client = this.clients.get(instance)!;
     this.carryOut(instance, client.withdraw(id, this.nowMs));
   }
--- a/packages/policy/src/client_allotment.ts
+++ b/packages/policy/src/client_allotment.ts
@@ -1,7 +1,7 @@
 /** Permits of a cell that one instance may use without requesting them. */
 
 import type {EndpointId} from '@snipestage/types/ids.js';
-import type {Allotment, PermitAsk} from '@snipestage/types/permits.js';
+import type {Allotment, CellPermitRequest} from '@snipestage/types/permits.js';
 import type {CellEndpoint} from './cell_messages.js';
 import {isEligible, type EndpointView} from './endpoint_choice.js';
 
@@ -62,7 +62,10 @@
   }
 
   /** Endpoints at which the request may start under the allotment. */
-  viewsFor(ask: PermitAsk, endpoints: readonly CellEndpoint[]): EndpointView[] {
+  viewsFor(
+    ask: CellPermitRequest,
+    endpoints: readonly CellEndpoint[],
+  ): EndpointView[] {
     const views: EndpointView[] = [];
     for (const endpoint of endpoints) {
       const {id, kind} = endpoint;
--- a/packages/policy/src/dispatch_queue.ts
+++ b/packages/policy/src/dispatch_queue.ts
@@ -7,11 +7,11 @@
   InstanceId,
   RequestClassId,
 } from '@snipestage/types/ids.js';
-import type {PermitAsk} from '@snipestage/types/permits.js';
+import type {CellPermitRequest} from '@snipestage/types/permits.js';
 
 /** A waiting request in the queue. */
 export interface WaitingRequest {
-  readonly ask: PermitAsk;
+  readonly ask: CellPermitRequest;
   readonly instance: InstanceId;
   readonly arrivedAtMs: number;
   /** Time after which the first token is worthless. */
--- a/packages/policy/src/endpoint_choice.ts
+++ b/packages/policy/src/endpoint_choice.ts
@@ -2,7 +2,7 @@
 
 import type {EndpointKind} from '@snipestage/types/configuration.js';
 import type {EndpointId} from '@snipestage/types/ids.js';
-import type {PermitAsk} from '@snipestage/types/permits.js';
+import type {CellPermitRequest} from '@snipestage/types/permits.js';
 import type {RandomSource} from './random_source.js';
 
 /** Properties of an endpoint that a choice depends on. */
@@ -22,7 +22,7 @@
 export abstract class EndpointChoice {
   /** `candidates` is not empty. */
   abstract choose(
-    ask: PermitAsk,
+    ask: CellPermitRequest,
     candidates: readonly EndpointView[],
     random: RandomSource,
   ): EndpointView;
@@ -42,7 +42,7 @@
  * isEligible(ask, endpoint); // false when it is leaving
  */
 export function isEligible(
-  ask: PermitAsk,
+  ask: CellPermitRequest,
   endpoint: EligibleEndpoint,
 ): boolean {
   if (endpoint.leaving) return false;
--- a/packages/policy/src/pending_requests.ts
+++ b/packages/policy/src/pending_requests.ts
@@ -1,7 +1,7 @@
 /** Requests of one instance that wait for a permit of a cell. */
 
 import type {AttemptId} from '@snipestage/types/ids.js';
-import type {PermitAsk} from '@snipestage/types/permits.js';
+import type {CellPermitRequest} from '@snipestage/types/permits.js';
 
 /** Weight of the newest wait in the mean. */
 const WAIT_WEIGHT = 0.2;
@@ -10,7 +10,7 @@
 
 /** A waiting request, and when its permit was last requested. */
 export interface PendingRequest {
-  readonly ask: PermitAsk;
+  readonly ask: CellPermitRequest;
   readonly arrivedAtMs: number;
   readonly deadlineAtMs: number;
   lastSentAtMs: number;
@@ -34,7 +34,7 @@
     return this.pendingRequests.get(attempt);
   }
 
-  add(ask: PermitAsk, nowMs: number): PendingRequest {
+  add(ask: CellPermitRequest, nowMs: number): PendingRequest {
     const deadlineAtMs = nowMs + ask.remainingMs;
     const waiting = {
       ask,
--- a/packages/policy/src/permit_client.test.ts
+++ b/packages/policy/src/permit_client.test.ts
@@ -7,7 +7,7 @@
   CELL,
   FIRST,
   SECOND,
-  makeAsk,
+  makePermitRequest,
   makeClass,
   makeEndpoint,
   makeRelease,
@@ -48,22 +48,22 @@
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   client.receive(allot(1, 1), SECOND, 0);
-  t.deepEqual(describe(client.request(makeAsk('a'), 1)), [
+  t.deepEqual(describe(client.request(makePermitRequest('a'), 1)), [
     'start a',
     'started',
   ]);
-  t.deepEqual(describe(client.request(makeAsk('b'), 2)), ['ask b']);
+  t.deepEqual(describe(client.request(makePermitRequest('b'), 2)), ['ask b']);
 });
 
 test('a reduced allotment stops new starts but no running attempt', t => {
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   client.receive(allot(3, 1), SECOND, 0);
-  client.request(makeAsk('a'), 1);
+  client.request(makePermitRequest('a'), 1);
   t.deepEqual(describe(client.receive(allot(0, 2), SECOND, 2)), [
     'allotment_applied',
   ]);
-  t.deepEqual(describe(client.request(makeAsk('b'), 3)), ['ask b']);
+  t.deepEqual(describe(client.request(makePermitRequest('b'), 3)), ['ask b']);
   t.is(client.snapshot(3).running, 1);
   client.receive(allot(3, 1), SECOND, 4);
   t.is(client.snapshot(4).allotment.sequence, 2);
@@ -75,8 +75,8 @@
   const client = createClient();
   client.ownerChanged(SECOND, 0);
   client.receive(allot(1, 1), SECOND, 0);
-  client.request(makeAsk('runs'), 1);
-  client.request(makeAsk('waits'), 2);
+  client.request(makePermitRequest('runs'), 1);
+  client.request(makePermitRequest('waits'), 2);
   const outputs = client.ownerChanged(FIRST, 10);
   t.deepEqual(describe(outputs), ['in_use 1', 'ask waits']);
 });
@@ -93,7 +93,7 @@
     return {...output, allotment: {...output.allotment, term}};
   };
   client.receive(ofTerm(1, 8), SECOND, 0);
-  client.request(makeAsk('runs'), 1);
+  client.request(makePermitRequest('runs'), 1);
   const outputs = client.receive(ofTerm(2, 1), SECOND, 2);
   t.deepEqual(describe(outputs), ['in_use 1', 'allotment_applied']);
   t.is(client.snapshot(2).allotment.sequence, 1);
@@ -104,11 +104,13 @@
   // share of the endpoint's limit only, as the others do the same.
   const client = createClient();
   client.ownerChanged(SECOND, 0);
-  client.request(makeAsk('a'), 1);
+  client.request(makePermitRequest('a'), 1);
   const outputs = client.ownerChanged(null, 10);
   t.deepEqual(describe(outputs), ['start a']);
-  t.deepEqual(describe(client.request(makeAsk('b'), 11)), ['start b']);
-  t.deepEqual(describe(client.request(makeAsk('c'), 12)), []);
+  t.deepEqual(describe(client.request(makePermitRequest('b'), 11)), [
+    'start b',
+  ]);
+  t.deepEqual(describe(client.request(makePermitRequest('c'), 12)), []);
   t.deepEqual(describe(client.release(makeRelease('a', 'e1'), 20)), [
     'start c',
   ]);
@@ -120,7 +122,7 @@
   const client = createClient();
   client.ownerChanged(null, 0);
   for (const attempt of ['a', 'b', 'c', 'd']) {
-    client.request(makeAsk(attempt), 1);
+    client.request(makePermitRequest(attempt), 1);
   }
   t.is(client.snapshot(1).waiting, 2);
 });
@@ -130,11 +132,14 @@
   // Callers would wait seconds for a grant that does not come.
   const client = createClient();
   client.ownerChanged(SECOND, 0);
-  client.request(makeAsk('a'), 0);
+  client.request(makePermitRequest('a'), 0);
   t.deepEqual(describe(client.tick(299)), []);
   t.deepEqual(describe(client.tick(300)), ['ask a']);
   t.deepEqual(describe(client.tick(700)), ['ask a', 'start a']);
-  const grant = {attempt: makeAsk('a').attempt, endpoint: ENDPOINT.id};
+  const grant = {
+    attempt: makePermitRequest('a').attempt,
+    endpoint: ENDPOINT.id,
+  };
   const thawed: CellOutput = {kind: 'grant', instance: FIRST, grant};
   t.deepEqual(describe(client.receive(thawed, SECOND, 1600)), ['in_use 1']);
 });
@@ -144,9 +149,12 @@
   // returned, the endpoint would serve one request less for good.
   const client = createClient();
   client.ownerChanged(SECOND, 0);
-  client.request(makeAsk('a'), 0);
-  client.withdraw(makeAsk('a').attempt, 1);
-  const grant = {attempt: makeAsk('a').attempt, endpoint: ENDPOINT.id};
+  client.request(makePermitRequest('a'), 0);
+  client.withdraw(makePermitRequest('a').attempt, 1);
+  const grant = {
+    attempt: makePermitRequest('a').attempt,
+    endpoint: ENDPOINT.id,
+  };
   const late: CellOutput = {kind: 'grant', instance: FIRST, grant};
   t.deepEqual(describe(client.receive(late, SECOND, 2)), ['release']);
 });
--- a/packages/policy/src/permit_client.ts
+++ b/packages/policy/src/permit_client.ts
@@ -3,7 +3,7 @@
 import type {AttemptId, CellId, InstanceId} from '@snipestage/types/ids.js';
 import type {
   Allotment,
-  PermitAsk,
+  CellPermitRequest,
   PermitRelease,
 } from '@snipestage/types/permits.js';
 import type {CellLoad} from './cell_choice.js';
@@ -96,7 +96,7 @@
    * @example
    * const outputs = client.request(ask, performance.now());
    */
-  request(ask: PermitAsk, nowMs: number): ClientOutput[] {
+  request(ask: CellPermitRequest, nowMs: number): ClientOutput[] {
     const {state} = this;
     if (state.isKnown(ask.attempt)) return [];
     if (this.startIfAllotted(ask, nowMs)) state.waiting.startedAtOnce(nowMs);
@@ -234,7 +234,7 @@
    * done while no request of this instance waits, since a request of an equal
    * or lower tier must not overtake a waiting one.
    */
-  private startIfAllotted(ask: PermitAsk, nowMs: number): boolean {
+  private startIfAllotted(ask: CellPermitRequest, nowMs: number): boolean {
     const {allotment, endpoints, instance, owner, waiting} = this.state;
     if (this.fallback.isActive || owner === null) return false;
     if (ask.suspect || waiting.size > 0) return false;
--- a/packages/policy/src/running_attempts.ts
+++ b/packages/policy/src/running_attempts.ts
@@ -1,12 +1,15 @@
 /** Attempts of one instance that hold a permit of a cell. */
 
 import type {AttemptId, EndpointId} from '@snipestage/types/ids.js';
-import type {PermitAsk, PermitInUse} from '@snipestage/types/permits.js';
+import type {
+  CellPermitRequest,
+  PermitInUse,
+} from '@snipestage/types/permits.js';
 import type {AttemptProgress} from './cell_messages.js';
 
 /** Start of an attempt at an endpoint, by a grant or under the allotment. */
 export interface AttemptStart {
-  readonly ask: PermitAsk;
+  readonly ask: CellPermitRequest;
   readonly endpoint: EndpointId;
   readonly underAllotment: boolean;
   readonly nowMs: number;
--- a/packages/policy/src/simulation/cell_simulation.ts
+++ b/packages/policy/src/simulation/cell_simulation.ts
@@ -15,7 +15,7 @@
 import {PermitClient} from '../permit_client.js';
 import type {PolicyName} from '../policy_set.js';
 import {createSeededRandom} from '../random_source.js';
-import {CELL, makeAsk} from '../test_fixtures.js';
+import {CELL, makePermitRequest} from '../test_fixtures.js';
 import type {RequestResult} from './attainment.js';
 import {
   describeServed,
@@ -184,7 +184,7 @@
     const instances = [...this.clients.keys()];
     const instance = instances[index % instances.length];
     const {requestClass, account, meanOutputTokens} = arrival.source;
-    const ask = makeAsk(`request-${index}`, {
+    const ask = makePermitRequest(`request-${index}`, {
       instance,
       account,
       requestClass: requestClass.id,
--- a/packages/policy/src/test_fixtures.ts
+++ b/packages/policy/src/test_fixtures.ts
@@ -11,7 +11,10 @@
   type InstanceId,
   type RequestClassId,
 } from '@snipestage/types/ids.js';
-import type {PermitAsk, PermitRelease} from '@snipestage/types/permits.js';
+import type {
+  CellPermitRequest,
+  PermitRelease,
+} from '@snipestage/types/permits.js';
 import type {CellEndpoint, CellOutput} from './cell_messages.js';
 
 export const CELL = brandAs<CellId>('akl-a/repair/1');
@@ -50,12 +53,12 @@
 }
 
 /** A permit request of the first instance in the class `tier-<tier>`. */
-export function makeAsk(
+export function makePermitRequest(
   attempt: string,
-  changes: Partial<Omit<PermitAsk, 'clientAccount'>> & {
+  changes: Partial<Omit<CellPermitRequest, 'clientAccount'>> & {
     readonly account?: string;
   } = {},
-): PermitAsk {
+): CellPermitRequest {
   const {account = 'gear-menders', ...rest} = changes;
   const tier = rest.tier ?? 0;
   return {
--- a/packages/policy/src/tiered_choice.ts
+++ b/packages/policy/src/tiered_choice.ts
@@ -1,6 +1,6 @@
 /** Endpoint choice of the `tiered` policy. */
 
-import type {PermitAsk} from '@snipestage/types/permits.js';
+import type {CellPermitRequest} from '@snipestage/types/permits.js';
 import {
   EndpointChoice,
   compareLoad,
@@ -33,7 +33,7 @@
   }
 
   choose(
-    ask: PermitAsk,
+    ask: CellPermitRequest,
     candidates: readonly EndpointView[],
     random: RandomSource,
   ): EndpointView {
@@ -62,7 +62,7 @@
  * Keeps the top tier off endpoints whose recovery is being probed, if possible.
  */
 function spareProbes(
-  ask: PermitAsk,
+  ask: CellPermitRequest,
   candidates: readonly EndpointView[],
 ): readonly EndpointView[] {
   if (ask.tier > 0) return candidates;
@@ -71,7 +71,7 @@
 }
 
 function preferCheap(
-  ask: PermitAsk,
+  ask: CellPermitRequest,
   candidates: readonly EndpointView[],
 ): readonly EndpointView[] {
   if (!ask.cheapAllowed) return candidates;
--- a/packages/policy/src/tiered_queue.test.ts
+++ b/packages/policy/src/tiered_queue.test.ts
@@ -1,7 +1,7 @@
 import {brandAs, type ClientAccountId} from '@snipestage/types/ids.js';
 import test from 'ava';
 import fc from 'fast-check';
-import {makeAsk, makeClass, FIRST} from './test_fixtures.js';
+import {makePermitRequest, makeClass, FIRST} from './test_fixtures.js';
 import {TieredQueue} from './tiered_queue.js';
 import {VirtualCounters} from './virtual_counters.js';
 
@@ -17,7 +17,7 @@
   let arrival = 0;
   const add = (tier: number) =>
     queue.add({
-      ask: makeAsk(`${arrival}`, {tier}),
+      ask: makePermitRequest(`${arrival}`, {tier}),
       instance: FIRST,
       arrivedAtMs: 0,
       deadlineAtMs: 0,
--- a/packages/settings/src/settings_reference.ts
+++ b/packages/settings/src/settings_reference.ts
@@ -8,7 +8,7 @@
   /** Such as `callers.port`. */
   readonly path: string;
   /** `required`, `optional`, or the default as JSON. */
-  readonly standard: string;
+  readonly defaultText: string;
   readonly description: string;
 }
 
@@ -37,8 +37,8 @@
   return Object.entries(properties).flatMap(([name, field]) => {
     const path = `${prefix}${name}`;
     if (field.properties !== undefined) return listFields(field, `${path}.`);
-    const standard = defaultTextOf(field, required.includes(name));
-    return [{path, standard, description: field.description ?? ''}];
+    const defaultText = defaultTextOf(field, required.includes(name));
+    return [{path, defaultText, description: field.description ?? ''}];
   });
 }
 
--- a/packages/types/src/permits.ts
+++ b/packages/types/src/permits.ts
@@ -15,7 +15,7 @@
 } from './ids.js';
 
 /** Asks the owner of a cell for a permit for a waiting request. */
-export interface PermitAsk {
+export interface CellPermitRequest {
   readonly attempt: AttemptId;
   readonly cell: CellId;
   readonly instance: InstanceId;
