--- a/packages/stand_ins/src/measure/actions.ts
+++ b/packages/stand_ins/src/measure/actions.ts
@@ -1,90 +1,102 @@
-/** Carries out what goes wrong in a scenario. */
+/** Performs the events of a scenario, such as faults, while it runs. */
 
 import got from 'got';
 import {readCounters, type RunEngine} from './engine_totals.js';
 import type {ScenarioAction, ScenarioEvent} from './scenario.js';
-import type {Stage} from './stage.js';
+import type {TestBed} from './test_bed.js';
 
 /**
- * Carries each event out at its instant, counted from now.
+ * Schedules each event for its instant, counted from now.
  *
- * @returns what stops the ones that are left.
+ * @returns a function that cancels the events which are not due yet.
  * @example
- * const stop = scheduleEvents(stage, scenario.events ?? []);
+ * const stop = scheduleEvents(testBed, scenario.events ?? []);
  */
 export function scheduleEvents(
-  stage: Stage,
+  testBed: TestBed,
   events: readonly ScenarioEvent[],
 ): () => void {
   const timers = events.map(({action, atMs}) =>
-    setTimeout(() => void carryOut(stage, action), atMs),
+    setTimeout(() => void carryOut(testBed, action), atMs),
   );
   return () => timers.forEach(timer => clearTimeout(timer));
 }
 
-async function carryOut(stage: Stage, action: ScenarioAction): Promise<void> {
+async function carryOut(
+  testBed: TestBed,
+  action: ScenarioAction,
+): Promise<void> {
   switch (action.kind) {
     case 'lose_data_centre':
-      return loseDataCentre(stage, action.dataCentre);
+      return loseDataCentre(testBed, action.dataCentre);
     case 'reclaim_cheap':
-      return reclaimCheap(stage, action.dataCentre);
+      return reclaimCheap(testBed, action.dataCentre);
     case 'control_engines': {
-      const engines = enginesIn(stage, action.dataCentre);
-      await Promise.all(engines.map(({url}) => tell(url, action.command)));
+      const engines = enginesIn(testBed, action.dataCentre);
+      await Promise.all(
+        engines.map(({url}) => sendControl(url, action.command)),
+      );
       return;
     }
     case 'control_platform':
-      return tell(stage.platform.url, action.command);
+      return sendControl(testBed.platform.url, action.command);
     case 'freeze_owner':
-      return ownerOf(stage).freeze();
+      return firstEntryProcess(testBed).freeze();
     case 'thaw_owner':
-      return ownerOf(stage).thaw();
+      return firstEntryProcess(testBed).thaw();
   }
 }
 
 /**
- * Which instance owns the cells changes from run to run; the first one of the
- * first data centre owns about its share of them.
+ * The process that is frozen as an owner of cells. Which instance owns which
+ * cells differs from run to run; the first instance of the first data centre
+ * owns about an even share of them.
  */
-function ownerOf(stage: Stage) {
-  return stage.deployment.entries[0].process;
+function firstEntryProcess(testBed: TestBed) {
+  return testBed.deployment.entries[0].process;
 }
 
-async function loseDataCentre(stage: Stage, dataCentre: string): Promise<void> {
-  const engines = enginesIn(stage, dataCentre);
+async function loseDataCentre(
+  testBed: TestBed,
+  dataCentre: string,
+): Promise<void> {
+  const engines = enginesIn(testBed, dataCentre);
   await Promise.all(engines.map(readCounters));
-  const host = stage.engineHosts.get(dataCentre);
-  const entries = stage.deployment.entries.filter(
+  const host = testBed.engineHosts.get(dataCentre);
+  const entries = testBed.deployment.entries.filter(
     ({settings}) => settings.dataCentre === dataCentre,
   );
   const ended = entries.map(entry => entry.process.kill());
   await Promise.all([...ended, host?.process.kill()]);
-  markGone(engines);
+  markEnded(engines);
 }
 
-async function reclaimCheap(stage: Stage, dataCentre: string): Promise<void> {
-  const engines = enginesIn(stage, dataCentre).filter(
+async function reclaimCheap(
+  testBed: TestBed,
+  dataCentre: string,
+): Promise<void> {
+  const engines = enginesIn(testBed, dataCentre).filter(
     ({kind}) => kind === 'cheap',
   );
   await Promise.all(engines.map(readCounters));
   const crash = {crash: {restartAfterMs: null}};
-  await Promise.all(engines.map(({url}) => tell(url, crash)));
-  markGone(engines);
+  await Promise.all(engines.map(({url}) => sendControl(url, crash)));
+  markEnded(engines);
 }
 
-function enginesIn(stage: Stage, dataCentre: string): RunEngine[] {
-  return stage.engines.filter(engine => engine.dataCentre === dataCentre);
+function enginesIn(testBed: TestBed, dataCentre: string): RunEngine[] {
+  return testBed.engines.filter(engine => engine.dataCentre === dataCentre);
 }
 
-function markGone(engines: readonly RunEngine[]): void {
-  for (const engine of engines) engine.untilMs = performance.now();
+function markEnded(engines: readonly RunEngine[]): void {
+  for (const engine of engines) engine.endedAtMs = performance.now();
 }
 
-async function tell(url: string, command: object): Promise<void> {
+async function sendControl(url: string, command: object): Promise<void> {
   try {
     await got.post(`${url}/control`, {json: command, retry: {limit: 0}});
   } catch (error) {
-    // An engine that was told to crash resets the very connection.
+    // An engine that crashes on command also resets this connection.
     if ((error as NodeJS.ErrnoException).code !== 'ECONNRESET') throw error;
   }
 }
--- a/packages/stand_ins/src/measure/arrivals.ts
+++ b/packages/stand_ins/src/measure/arrivals.ts
@@ -1,4 +1,4 @@
-/** When which request is to be sent, worked out before the run. */
+/** Computes the schedule of a run's requests before the run starts. */
 
 import {meanMark} from '../engine/output_length.js';
 import {DEFAULT_POISON_MARK} from '../engine/sequence_factory.js';
@@ -10,7 +10,7 @@
   Scenario,
 } from './scenario.js';
 
-/** One request of a model, to be sent at an instant of the run. */
+/** One model request and the instant of the run at which to send it. */
 export interface Arrival {
   readonly atMs: number;
   readonly requestClass: string;
@@ -20,7 +20,7 @@
   readonly isPoison: boolean;
 }
 
-/** One call of the plain service. */
+/** One call of the plain service and the instant at which to make it. */
 export interface ServiceArrival {
   readonly atMs: number;
   readonly account: string;
@@ -28,12 +28,12 @@
 }
 
 const MS_PER_SECOND = 1000;
-const MANUALS_PER_ACCOUNT = 6;
-const QUESTION_WORDS = 12;
+const PREFIXES_PER_ACCOUNT = 6;
+const QUESTION_WORD_COUNT = 12;
 
 /**
- * All requests of a scenario in order of time: Poisson arrivals, thinned to
- * the rate of each instant.
+ * Returns all model requests of a scenario, sorted by time: for each stream,
+ * Poisson arrivals at its highest rate, thinned to the rate of each instant.
  *
  * @example
  * const arrivals = assembleArrivals(scenario);
@@ -47,7 +47,7 @@
 }
 
 /**
- * The calls of the plain service, each with an idempotency key of its own.
+ * Returns the calls of the plain service, each with its own idempotency key.
  *
  * @example
  * const bookings = assembleServiceArrivals(scenario);
@@ -91,21 +91,26 @@
   return arrivals;
 }
 
-interface Draw {
+interface ArrivalOptions {
   readonly atMs: number;
   readonly account: string;
   readonly number: number;
   readonly random: RandomSource;
 }
 
-function makeArrival(stream: RequestStream, draw: Draw): Arrival {
-  const {account, atMs, number, random} = draw;
+function makeArrival(stream: RequestStream, options: ArrivalOptions): Arrival {
+  const {account, atMs, number, random} = options;
   const {requestClass, meanOutputTokens} = stream;
   const isPoison = stream.isPoison ?? false;
-  const manual = isPoison ? 0 : Math.floor(random() * MANUALS_PER_ACCOUNT);
-  const shared = words(`${account}-m${manual}`, stream.sharedWords);
-  const asked = isPoison ? 'poison' : `q${number}`;
-  const question = words(`${requestClass}-${asked}`, QUESTION_WORDS);
+  const prefixNumber = isPoison
+    ? 0
+    : Math.floor(random() * PREFIXES_PER_ACCOUNT);
+  const shared = makeWords(`${account}-m${prefixNumber}`, stream.sharedWords);
+  const questionId = isPoison ? 'poison' : `q${number}`;
+  const question = makeWords(
+    `${requestClass}-${questionId}`,
+    QUESTION_WORD_COUNT,
+  );
   const marks = [meanMark(meanOutputTokens)];
   if (isPoison) marks.push(DEFAULT_POISON_MARK);
   const prompt = `${shared} ${question} ${marks.join(' ')}`;
@@ -136,6 +141,6 @@
   return shares[shares.length - 1].account;
 }
 
-function words(name: string, count: number): string {
+function makeWords(name: string, count: number): string {
   return Array.from({length: count}, (_, at) => `${name}w${at}`).join(' ');
 }
--- a/packages/stand_ins/src/measure/balancer.ts
+++ b/packages/stand_ins/src/measure/balancer.ts
@@ -1,8 +1,8 @@
-/** Takes the place of the platform's balancer in front of the instances. */
+/** Stand-in for the platform's load balancer in front of the instances. */
 
 import got from 'got';
 
-/** How instances are checked. */
+/** Options of {@link Balancer}: the instances and how they are checked. */
 export interface BalancerOptions {
   readonly urls: readonly string[];
   readonly checkEveryMs?: number;
@@ -12,7 +12,10 @@
 const DEFAULT_CHECK_EVERY_MS = 500;
 const DEFAULT_TIMEOUT_MS = 1000;
 
-/** Round robin over the instances that said they are ready when last asked. */
+/**
+ * Round-robin over the instances whose last readiness check succeeded and that
+ * have not refused a connection since; over all instances when there are none.
+ */
 export class Balancer {
   private readonly options: BalancerOptions;
   private readonly healthy: Set<string>;
@@ -35,7 +38,7 @@
   }
 
   /**
-   * The instance that gets the next connection.
+   * Returns the URL of the instance that gets the next connection.
    *
    * @example
    * const url = balancer.pick();
@@ -47,7 +50,7 @@
     return urls[this.next % urls.length];
   }
 
-  /** A connection was refused: the instance is gone. */
+  /** Excludes an instance that refused a connection until a check succeeds. */
   reportRefused(url: string): void {
     this.healthy.delete(url);
   }
--- a/packages/stand_ins/src/measure/capacity.ts
+++ b/packages/stand_ins/src/measure/capacity.ts
@@ -1,4 +1,4 @@
-/** How many streamed requests a second one entry process carries. */
+/** Measures how many streamed requests a second one entry process sustains. */
 
 import {setTimeout as delay} from 'node:timers/promises';
 import {build as buildHistogram} from 'hdr-histogram-js';
@@ -16,18 +16,18 @@
 } from './experiment.js';
 import {Load, type Outcome} from './load.js';
 import {readProcessUsage, usageBetween} from './process_usage.js';
-import {setStage, type Stage} from './stage.js';
+import {startTestBed, type TestBed} from './test_bed.js';
 
 const RATES_PER_SECOND = [50, 100, 200, 300, 400];
 const STEP_MS = 8000;
-const PAUSE_MS = 2000;
+const PAUSE_BETWEEN_STEPS_MS = 2000;
 const DRAIN_MS = 10_000;
 const MEAN_OUTPUT_TOKENS = 20;
 const SEED = 7;
 const MS_PER_SECOND = 1000;
 
 /**
- * Raises the rate step by step against engines that are never full.
+ * Raises the request rate step by step, with engines that never become full.
  *
  * @example
  * console.log(formatExperiment(await measureCapacity()));
@@ -50,11 +50,11 @@
       },
       maxConcurrency: 1000,
     });
-    const stage = await setStage(launcher, scenario, 'tiered');
+    const testBed = await startTestBed(launcher, scenario, 'tiered');
     const rows: ExperimentRow[] = [];
     for (const rate of RATES_PER_SECOND) {
-      rows.push(await measureRate(stage, rate));
-      await delay(PAUSE_MS);
+      rows.push(await measureRate(testBed, rate));
+      await delay(PAUSE_BETWEEN_STEPS_MS);
     }
     return rows;
   } finally {
@@ -63,24 +63,24 @@
 }
 
 async function measureRate(
-  stage: Stage,
+  testBed: TestBed,
   ratePerSecond: number,
 ): Promise<ExperimentRow> {
-  const [entry] = stage.deployment.entries;
+  const [entry] = testBed.deployment.entries;
   const load = new Load({
     balancer: new Balancer({urls: [entry.callersUrl]}),
-    accountKeys: stage.accountKeys,
+    accountKeys: testBed.accountKeys,
     model: EXPERIMENT_MODEL,
     engineSeed: SEED,
     drainMs: DRAIN_MS,
   });
   const {pid} = entry.process;
   const before = readProcessUsage(pid);
-  const ownBefore = readProcessUsage(process.pid);
+  const clientBefore = readProcessUsage(process.pid);
   const running = load.run(arrivalsAt(ratePerSecond));
   await delay(STEP_MS);
   const used = usageBetween(before, readProcessUsage(pid));
-  const ownUsed = usageBetween(ownBefore, readProcessUsage(process.pid));
+  const clientUsage = usageBetween(clientBefore, readProcessUsage(process.pid));
   const outcomes = await running;
   return {
     name: `${ratePerSecond}/s`,
@@ -90,7 +90,7 @@
       ...latencyFigures(outcomes),
       entryCpuShare: used.cpuShare,
       entryMegabytes: used.residentMegabytes,
-      clientCpuShare: ownUsed.cpuShare,
+      clientCpuShare: clientUsage.cpuShare,
     },
   };
 }
--- a/packages/stand_ins/src/measure/control_cost.ts
+++ b/packages/stand_ins/src/measure/control_cost.ts
@@ -1,4 +1,4 @@
-/** What an idle entry process costs, by how many there are. */
+/** Measures the cost of an idle entry process by the number of processes. */
 
 import {setTimeout as delay} from 'node:timers/promises';
 import got from 'got';
@@ -11,40 +11,45 @@
   usageBetween,
   type UsageRate,
 } from './process_usage.js';
-import {setStage, type Stage} from './stage.js';
+import {startTestBed, type TestBed} from './test_bed.js';
 
-const COUNTS = [9, 20, 40];
-const TARGET_COUNT = 380;
+const PROCESS_COUNTS = [9, 20, 40];
+const EXTRAPOLATED_PROCESS_COUNT = 380;
 const SETTLE_MS = 10_000;
 const MEASURED_MS = 15_000;
 const MS_PER_SECOND = 1000;
 const DATA_CENTRES = ['akl-a', 'akl-b', 'akl-c'];
 
 /**
- * Means over the processes at each count, and straight lines through them drawn
- * on to 380. A line is a guess where the cost is not linear: read it with the
- * three rows above it.
+ * Measures each count of processes, fits a straight line to each figure and
+ * extrapolates it to 380 processes. CPU, memory and bytes are means over the
+ * processes; table reads and writes are totals of all processes. Where a cost
+ * is not linear, the extrapolation is only a guess: read it together with the
+ * three measured rows above it.
  *
  * @example
  * console.log(formatExperiment(await measureControlCost()));
  */
 export async function measureControlCost(): Promise<ExperimentRow[]> {
   const rows: ExperimentRow[] = [];
-  for (const count of COUNTS) rows.push(await measureCount(count));
+  for (const count of PROCESS_COUNTS) rows.push(await measureCount(count));
   const names = Object.keys(rows[0].figures);
   const fits = names.map(name => {
     const values = rows.map(({figures}) => figures[name]);
-    return [name, fitLine(COUNTS, values)] as const;
+    return [name, fitLine(PROCESS_COUNTS, values)] as const;
   });
   const slopes = fits.map(([name, {slope}]) => [name, slope] as const);
   const fitted = fits.map(
     ([name, {intercept, slope}]) =>
-      [name, intercept + slope * TARGET_COUNT] as const,
+      [name, intercept + slope * EXTRAPOLATED_PROCESS_COUNT] as const,
   );
   return [
     ...rows,
     {name: 'slope a process', figures: Object.fromEntries(slopes)},
-    {name: `fit at ${TARGET_COUNT}`, figures: Object.fromEntries(fitted)},
+    {
+      name: `fit at ${EXTRAPOLATED_PROCESS_COUNT}`,
+      figures: Object.fromEntries(fitted),
+    },
   ];
 }
 
@@ -58,23 +63,23 @@
       engine: {},
       maxConcurrency: 16,
     });
-    const stage = await setStage(launcher, scenario, 'tiered', count);
+    const testBed = await startTestBed(launcher, scenario, 'tiered', count);
     await delay(SETTLE_MS);
-    return {name: `${count} processes`, figures: await measureIdle(stage)};
+    return {name: `${count} processes`, figures: await measureIdle(testBed)};
   } finally {
     await launcher.close();
   }
 }
 
-async function measureIdle(stage: Stage): Promise<Record<string, number>> {
-  const pids = stage.deployment.entries.map(entry => entry.process.pid);
-  const callsBefore = await readCalls(stage);
+async function measureIdle(testBed: TestBed): Promise<Record<string, number>> {
+  const pids = testBed.deployment.entries.map(entry => entry.process.pid);
+  const callsBefore = await readCalls(testBed);
   const before = pids.map(readProcessUsage);
   await delay(MEASURED_MS);
   const rates = pids.map((pid, at) =>
     usageBetween(before[at], readProcessUsage(pid)),
   );
-  const callsAfter = await readCalls(stage);
+  const callsAfter = await readCalls(testBed);
   const seconds = MEASURED_MS / MS_PER_SECOND;
   const mean = (valueOf: (rate: UsageRate) => number): number =>
     meanOf(rates.map(valueOf));
@@ -95,7 +100,7 @@
   return calls.reads + calls.scans;
 }
 
-async function readCalls(stage: Stage): Promise<CallCounts> {
-  const log = got(`${stage.platform.url}/control/log`);
+async function readCalls(testBed: TestBed): Promise<CallCounts> {
+  const log = got(`${testBed.platform.url}/control/log`);
   return (await log.json<{calls: CallCounts}>()).calls;
 }
--- a/packages/stand_ins/src/measure/engine_totals.ts
+++ b/packages/stand_ins/src/measure/engine_totals.ts
@@ -10,13 +10,13 @@
   readonly dataCentre: string;
   readonly kind: EndpointKind;
   readonly url: string;
-  /** When it was lost or reclaimed. */
-  untilMs?: number;
-  /** Its counters shortly before it was lost, or at the end. */
+  /** When it was lost or reclaimed; absent while it runs. */
+  endedAtMs?: number;
+  /** Read shortly before it was lost or reclaimed, or at the end of the run. */
   counters?: EngineCounts;
 }
 
-/** As an engine stand-in's log tells them. */
+/** Counters as reported by the log of an engine stand-in. */
 export interface EngineCounts {
   readonly tokensProduced: number;
   readonly wastedTokens: number;
@@ -25,7 +25,7 @@
   readonly runsByRequestId: Readonly<Record<string, number>>;
 }
 
-/** All engines together. */
+/** Sums over all engines of a run. */
 export interface EngineTotals {
   readonly tokensProduced: number;
   readonly wastedTokens: number;
@@ -37,18 +37,18 @@
   readonly requestIds: ReadonlySet<string>;
 }
 
-/** The stretch of time for which engines are paid. */
-export interface PaidTime {
+/** The period for which engines are billed. */
+export interface BilledPeriod {
   readonly fromMs: number;
   readonly toMs: number;
 }
 
 const MS_PER_HOUR = 3_600_000;
-/** An attempt's id is the request's id and a number. */
+/** The id of an attempt is the request's id, a dot and a number. */
 const ATTEMPT_NUMBER = /\.\d+$/;
 
 /**
- * Reads an engine's counters; one that is gone keeps those read last.
+ * Reads an engine's counters; those of an unreachable engine stay as last read.
  *
  * @example
  * await readCounters(engine);
@@ -63,14 +63,14 @@
 }
 
 /**
- * Adds the counters up.
+ * Sums the counters and the spend of all engines.
  *
  * @example
  * const totals = sumEngines(engines, {fromMs, toMs: performance.now()});
  */
 export function sumEngines(
   engines: readonly RunEngine[],
-  paid: PaidTime,
+  billed: BilledPeriod,
 ): EngineTotals {
   const sum = (valueOf: (counts: EngineCounts) => number, of = engines) =>
     of.reduce(
@@ -88,12 +88,15 @@
     tokensLostInCrashes: sum(({tokensLostInCrashes}) => tokensLostInCrashes),
     cheapTokens: sum(({tokensProduced}) => tokensProduced, cheap),
     crashes: sum(({crashes}) => crashes),
-    spend: engines.reduce((total, engine) => total + spendOf(engine, paid), 0),
+    spend: engines.reduce(
+      (total, engine) => total + spendOf(engine, billed),
+      0,
+    ),
     requestIds: new Set(attempts.map(id => id.replace(ATTEMPT_NUMBER, ''))),
   };
 }
 
-function spendOf(engine: RunEngine, {fromMs, toMs}: PaidTime): number {
-  const runningMs = (engine.untilMs ?? toMs) - fromMs;
+function spendOf(engine: RunEngine, {fromMs, toMs}: BilledPeriod): number {
+  const runningMs = (engine.endedAtMs ?? toMs) - fromMs;
   return (runningMs / MS_PER_HOUR) * PRICE_PER_HOUR[engine.kind];
 }
--- a/packages/stand_ins/src/measure/experiment.ts
+++ b/packages/stand_ins/src/measure/experiment.ts
@@ -1,4 +1,7 @@
-/** Measurements that are no scenario: one stage, one question. */
+/**
+ * Common parts of the experiments: measurements of one quantity on test beds
+ * without the load and faults of a scenario.
+ */
 
 import type {EngineStandInOptions} from '../engine/engine_stand_in.js';
 import type {Scenario} from './scenario.js';
@@ -13,8 +16,8 @@
 export const EXPERIMENT_CLASS = 'counter';
 export const EXPERIMENT_ACCOUNT = 'central';
 
-/** What of an experiment's stage varies. */
-export interface ExperimentStageOptions {
+/** Options of {@link idleScenario}: what differs between experiments. */
+export interface IdleScenarioOptions {
   readonly dataCentres: readonly string[];
   readonly entriesPerDataCentre: number;
   readonly enginesPerDataCentre: number;
@@ -23,12 +26,16 @@
 }
 
 /**
- * A scenario without load or trouble, to set a stage by.
+ * Returns a scenario without load or faults, to start a test bed with.
  *
  * @example
- * const stage = await setStage(launcher, idleScenario(options), 'tiered');
+ * const testBed = await startTestBed(
+ *   launcher,
+ *   idleScenario(options),
+ *   'tiered',
+ * );
  */
-export function idleScenario(options: ExperimentStageOptions): Scenario {
+export function idleScenario(options: IdleScenarioOptions): Scenario {
   return {
     name: 'idle',
     about: 'Nothing happens',
@@ -66,7 +73,7 @@
 }
 
 /**
- * Rows as a table, one column a figure.
+ * Formats rows as a table with one column per figure.
  *
  * @example
  * console.log(formatExperiment(rows));
--- a/packages/stand_ins/src/measure/figures.test.ts
+++ b/packages/stand_ins/src/measure/figures.test.ts
@@ -45,7 +45,7 @@
   });
 }
 
-test('arrivals are the same at every run, in order, with the burst', t => {
+test('arrivals are reproducible, sorted by time and include the burst', t => {
   const arrivals = assembleArrivals(SCENARIO);
   t.deepEqual(arrivals, assembleArrivals(SCENARIO));
   const times = arrivals.map(({atMs}) => atMs);
@@ -83,7 +83,7 @@
   t.is(figures.service.doubled, 1);
 });
 
-test('an account that floods is not told as the worst served', t => {
+test('an account that floods is never the worst-served account', t => {
   const flood = SCENARIOS.get('flood') as Scenario;
   const [arrival] = assembleArrivals(flood);
   const served = ['harbour', 'alpine'].map(account =>
@@ -97,7 +97,7 @@
   t.is(worst([...served, missed('hut-1')]), 0);
 });
 
-test('usage that was not reported, or reported twice, shows', t => {
+test('counts accounts without reported usage and contradicted windows', t => {
   const {account} = outcomeOf().arrival;
   const line = {
     clientAccount: account,
--- a/packages/stand_ins/src/measure/figures.ts
+++ b/packages/stand_ins/src/measure/figures.ts
@@ -1,4 +1,4 @@
-/** The figures of one run, from its outcomes and the stand-ins' counters. */
+/** Computes a run's figures from its outcomes and the stand-ins' counters. */
 
 import {build as buildHistogram, type Histogram} from 'hdr-histogram-js';
 import type {EngineTotals} from './engine_totals.js';
@@ -6,17 +6,17 @@
 import type {Scenario, ScenarioClass} from './scenario.js';
 import type {UsageCheck} from './usage_check.js';
 
-/** Shares of all requests of a class that met its targets, 0 to 1. */
+/** Shares of some requests that met the targets of their class, 0 to 1. */
 export interface Attainment {
   readonly requests: number;
-  /** All targets at once, with a whole answer. */
+  /** Met all targets, with a complete answer. */
   readonly all: number;
   readonly firstToken: number;
   readonly betweenTokens: number;
   readonly deadline: number;
 }
 
-/** Figures of one class. */
+/** Figures of one class, without poison requests. */
 export interface ClassFigures extends Attainment {
   readonly firstTokenP50Ms: number;
   readonly firstTokenP99Ms: number;
@@ -26,27 +26,30 @@
 /** Figures of a run. */
 export interface RunFigures {
   readonly classes: Readonly<Record<string, ClassFigures>>;
-  /** Requests a second that met all targets. */
+  /** Requests per second that met all targets. */
   readonly goodputPerSecond: number;
-  /** Tokens of requests given up, over all tokens produced. */
+  /** Tokens of cancelled or abandoned requests, over all tokens produced. */
   readonly wastedShare: number;
-  /** Tokens lost in crashes, over all tokens produced. */
+  /** Tokens of requests that a crash ended, over all tokens produced. */
   readonly crashLostShare: number;
   /**
-   * Attainment of the worst-served account over the median account's, less
-   * the one that floods.
+   * Attainment of the worst-served account over the median account's; accounts
+   * that flood are excluded.
    */
   readonly worstAccountOverMedian: number;
-  /** Fewest whole answers of the lowest class in any 10 s of the run. */
+  /**
+   * Fewest complete answers of the class with the highest tier number in any
+   * 10 s of the run that begin at a full second.
+   */
   readonly lowestClassLeastPer10S: number;
   readonly endpointSpend: number;
   /** Tokens produced on cheap endpoints, over all tokens produced. */
   readonly cheapShare: number;
   readonly refusals: Readonly<Record<string, number>>;
   readonly failures: Readonly<Record<string, number>>;
-  /** Answers that held something of another request. */
+  /** Answers with text that does not belong to the answer to their request. */
   readonly wrongAnswers: number;
-  /** Refusals said to be not run, of requests that an engine has run. */
+  /** Refusals with the verdict `not_run` of requests that an engine has run. */
   readonly untrueNotRun: number;
   readonly crashes: number;
   readonly service: ServiceFigures;
@@ -56,19 +59,20 @@
 /** Figures of the plain service's calls. */
 export interface ServiceFigures {
   readonly calls: number;
+  /** Calls answered 201. */
   readonly ok: number;
-  /** Made more than once. */
+  /** Records beyond the first of each call. */
   readonly doubled: number;
-  /** Answered as made, and not there. */
+  /** Calls answered 201 of which there is no record. */
   readonly lost: number;
 }
 
-/** What figures are worked out from. */
+/** What the figures of a run are computed from. */
 export interface RunRecord {
   readonly scenario: Scenario;
   readonly outcomes: readonly Outcome[];
   readonly serviceOutcomes: readonly ServiceOutcome[];
-  /** Content of each record that the services hold. */
+  /** Content of each record stored by the services. */
   readonly serviceRecords: ReadonlyArray<{readonly call: string}>;
   readonly engines: EngineTotals;
   readonly usage: UsageCheck;
@@ -76,11 +80,11 @@
 
 const WINDOW_MS = 10_000;
 const MS_PER_SECOND = 1000;
-const HIGHEST_LATENCY_MS = 600_000;
+const MAX_TRACKED_LATENCY_MS = 600_000;
 const HTTP_CREATED = 201;
 
 /**
- * Works the figures out.
+ * Computes the figures of a run.
  *
  * @example
  * const figures = assembleFigures(record);
@@ -94,14 +98,14 @@
     goodputPerSecond: good.length / (scenario.durationMs / MS_PER_SECOND),
     wastedShare: engines.wastedTokens / tokens,
     crashLostShare: engines.tokensLostInCrashes / tokens,
-    worstAccountOverMedian: worstOverMedian(scenario, outcomes),
+    worstAccountOverMedian: worstAttainmentOverMedian(scenario, outcomes),
     lowestClassLeastPer10S: leastPerWindow(scenario, outcomes),
     endpointSpend: engines.spend,
     cheapShare: engines.cheapTokens / tokens,
     refusals: countBy(outcomes, ({refusal}) => refusal),
     failures: countBy(outcomes, ({failure}) => failure),
     wrongAnswers: outcomes.filter(({isWrong}) => isWrong).length,
-    untrueNotRun: countUntrue(outcomes, engines.requestIds),
+    untrueNotRun: countUntrueNotRun(outcomes, engines.requestIds),
     crashes: engines.crashes,
     service: serviceFigures(record),
     usage: record.usage,
@@ -119,7 +123,7 @@
   );
 }
 
-/** The middle of some numbers; 0 of none. */
+/** The median; 0 when there are no values. */
 export function medianOf(values: readonly number[]): number {
   if (values.length === 0) return 0;
   const sorted = [...values].sort((left, right) => left - right);
@@ -146,7 +150,7 @@
 ): Record<string, ClassFigures> {
   const figures: Record<string, ClassFigures> = {};
   for (const requestClass of Object.keys(scenario.classes)) {
-    const own = innocent(outcomes).filter(
+    const own = withoutPoison(outcomes).filter(
       ({arrival}) => arrival.requestClass === requestClass,
     );
     if (own.length === 0) continue;
@@ -161,8 +165,8 @@
   return figures;
 }
 
-/** A poison request that is refused is served as it should be. */
-function innocent(outcomes: readonly Outcome[]): Outcome[] {
+/** Excludes poison requests, since refusing them is correct. */
+function withoutPoison(outcomes: readonly Outcome[]): Outcome[] {
   return outcomes.filter(({arrival}) => !arrival.isPoison);
 }
 
@@ -201,7 +205,7 @@
 
 function histogramOf(outcomes: readonly Outcome[]): Histogram {
   const histogram = buildHistogram({
-    highestTrackableValue: HIGHEST_LATENCY_MS,
+    highestTrackableValue: MAX_TRACKED_LATENCY_MS,
   });
   for (const {firstTokenMs} of outcomes) {
     if (firstTokenMs === undefined) continue;
@@ -210,7 +214,7 @@
   return histogram;
 }
 
-function worstOverMedian(
+function worstAttainmentOverMedian(
   scenario: Scenario,
   outcomes: readonly Outcome[],
 ): number {
@@ -222,13 +226,16 @@
   );
   const shares = [...accounts].map(account => {
     const own = outcomes.filter(({arrival}) => arrival.account === account);
-    return attainmentOf(scenario, innocent(own)).all;
+    return attainmentOf(scenario, withoutPoison(own)).all;
   });
   const median = medianOf(shares);
   return median === 0 ? 0 : Math.min(...shares) / median;
 }
 
-/** Served worst by its own doing; the others are to be told. */
+/**
+ * Accounts with a rate change of their own. They cause their low attainment
+ * themselves, so that only the other accounts are compared.
+ */
 function floodingAccounts(scenario: Scenario): Set<string | undefined> {
   const changes = scenario.streams.flatMap(stream => stream.rateChanges ?? []);
   return new Set(changes.map(({account}) => account));
@@ -260,7 +267,7 @@
   )[0];
 }
 
-function countUntrue(
+function countUntrueNotRun(
   outcomes: readonly Outcome[],
   ranRequestIds: ReadonlySet<string>,
 ): number {
@@ -272,13 +279,13 @@
 
 function serviceFigures(record: RunRecord): ServiceFigures {
   const {serviceOutcomes, serviceRecords} = record;
-  const made = serviceRecords.map(({call}) => call);
+  const recordedCalls = serviceRecords.map(({call}) => call);
   const ok = serviceOutcomes.filter(({status}) => status === HTTP_CREATED);
   return {
     calls: serviceOutcomes.length,
     ok: ok.length,
-    doubled: made.length - new Set(made).size,
-    lost: ok.filter(({arrival}) => !made.includes(arrival.key)).length,
+    doubled: recordedCalls.length - new Set(recordedCalls).size,
+    lost: ok.filter(({arrival}) => !recordedCalls.includes(arrival.key)).length,
   };
 }
 
--- a/packages/stand_ins/src/measure/linear_fit.test.ts
+++ b/packages/stand_ins/src/measure/linear_fit.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {fitLine, meanOf} from './linear_fit.js';
 
-test('a line through points on a line is that line', t => {
+test('fits the line on which all points lie; the mean of no values is 0', t => {
   const {intercept, slope} = fitLine([9, 20, 40], [28, 50, 90]);
   t.is(slope, 2);
   t.is(intercept, 10);
--- a/packages/stand_ins/src/measure/linear_fit.ts
+++ b/packages/stand_ins/src/measure/linear_fit.ts
@@ -1,13 +1,13 @@
-/** A straight line through some points. */
+/** Least-squares fit of a straight line. */
 
-/** `value = intercept + slope * x`. */
+/** The line `value = intercept + slope * x`. */
 export interface LinearFit {
   readonly intercept: number;
   readonly slope: number;
 }
 
 /**
- * Ordinary least squares.
+ * Fits a line by ordinary least squares; the slope is 0 if all `xs` are equal.
  *
  * @example
  * const {intercept, slope} = fitLine([9, 20, 40], cpuShares);
@@ -29,7 +29,7 @@
   return {intercept: meanValue - slope * meanX, slope};
 }
 
-/** The mean of some numbers; 0 of none. */
+/** The mean; 0 when there are no values. */
 export function meanOf(values: readonly number[]): number {
   if (values.length === 0) return 0;
   return values.reduce((sum, value) => sum + value, 0) / values.length;
--- a/packages/stand_ins/src/measure/load.ts
+++ b/packages/stand_ins/src/measure/load.ts
@@ -1,7 +1,7 @@
 /**
- * Sends requests at the instants they were meant for, however late the answers
- * are (open loop). Latency counts from the intended instant, so that a request
- * which could not be sent in time is not taken for a quick one.
+ * Sends requests at their scheduled instants, however late the answers are
+ * (open loop). Latency is measured from the scheduled instant, so that a
+ * request which could not be sent in time does not count as a fast one.
  */
 
 import {setMaxListeners} from 'node:events';
@@ -14,19 +14,19 @@
 import type {Arrival, ServiceArrival} from './arrivals.js';
 import type {Balancer} from './balancer.js';
 
-/** What became of one request of a model. */
+/** Result of one model request. */
 export interface Outcome {
   readonly arrival: Arrival;
-  /** From the intended instant; absent when no token came. */
+  /** From the scheduled instant; absent when no token arrived. */
   readonly firstTokenMs: number | undefined;
-  /** Mean over the answer; absent with fewer than two tokens. */
+  /** Mean over the answer; absent when there are fewer than two tokens. */
   readonly betweenTokensMs: number | undefined;
-  /** From the intended instant to the end of the exchange. */
+  /** From the scheduled instant to the end of the exchange. */
   readonly totalMs: number;
   readonly tokens: number;
-  /** Whether the whole answer to this very request came. */
+  /** Whether the complete, expected answer to this request arrived. */
   readonly isWhole: boolean;
-  /** Whether what came was not (the start of) the answer to this request. */
+  /** Whether the received text is not a prefix of the expected answer. */
   readonly isWrong: boolean;
   readonly status: number;
   readonly requestId: string | undefined;
@@ -35,30 +35,31 @@
   readonly failure: string | undefined;
 }
 
-/** What became of one call of the plain service. */
+/** Result of one call of the plain service. */
 export interface ServiceOutcome {
   readonly arrival: ServiceArrival;
+  /** 0 when the call failed without an answer. */
   readonly status: number;
   readonly body: string;
 }
 
-/** Where and as whom to send. */
+/** Options of {@link Load}: where to send, and with which keys. */
 export interface LoadOptions {
   readonly balancer: Balancer;
   readonly accountKeys: Readonly<Record<string, string>>;
   readonly model: string;
-  /** The engines' seed, from which lengths of answers follow. */
+  /** The engines' seed, which determines the lengths of answers. */
   readonly engineSeed: number;
-  /** After the last arrival, to let answers end. */
+  /** How long answers may still take after the last request was sent. */
   readonly drainMs: number;
 }
 
-const LONGEST_SLEEP_MS = 50;
-const MOST_TRIES = 3;
-/** The measurement itself ended the exchange. */
+const MAX_SLEEP_MS = 50;
+const MAX_TRY_COUNT = 3;
+/** Failure of an exchange that the measurement itself aborted. */
 const GIVEN_UP = 'given_up';
 
-/** Sends one run's requests. */
+/** Sends the requests of one run. */
 export class Load {
   private readonly options: LoadOptions;
   private readonly agent = new Agent({keepAlive: true, maxSockets: Infinity});
@@ -71,14 +72,15 @@
   }
 
   /**
-   * Sends all, waits for the answers and gives up what is left at the end.
+   * Sends all requests, waits for the answers and aborts those that are still
+   * open after {@link LoadOptions.drainMs}.
    *
    * @example
    * const outcomes = await load.run(arrivals);
    */
   async run(arrivals: readonly Arrival[]): Promise<Outcome[]> {
     this.startedAtMs = performance.now();
-    const outcomes = await this.atTheirTimes(arrivals, arrival =>
+    const outcomes = await this.sendOnSchedule(arrivals, arrival =>
       this.send(arrival),
     );
     this.agent.destroy();
@@ -88,10 +90,10 @@
   /** As {@link run}, for calls of the plain service. */
   runService(arrivals: readonly ServiceArrival[]): Promise<ServiceOutcome[]> {
     this.startedAtMs = performance.now();
-    return this.atTheirTimes(arrivals, arrival => this.call(arrival));
+    return this.sendOnSchedule(arrivals, arrival => this.call(arrival));
   }
 
-  private async atTheirTimes<A extends {readonly atMs: number}, O>(
+  private async sendOnSchedule<A extends {readonly atMs: number}, O>(
     arrivals: readonly A[],
     send: (arrival: A) => Promise<O>,
   ): Promise<O[]> {
@@ -100,9 +102,12 @@
       await this.sleepUntil(arrival.atMs);
       sent.push(send(arrival));
     }
-    const giveUp = setTimeout(() => this.abort.abort(), this.options.drainMs);
+    const abortTimer = setTimeout(
+      () => this.abort.abort(),
+      this.options.drainMs,
+    );
     const outcomes = await Promise.all(sent);
-    clearTimeout(giveUp);
+    clearTimeout(abortTimer);
     return outcomes;
   }
 
@@ -110,7 +115,7 @@
     for (;;) {
       const leftMs = this.startedAtMs + atMs - performance.now();
       if (leftMs <= 0) return;
-      await delay(Math.min(leftMs, LONGEST_SLEEP_MS));
+      await delay(Math.min(leftMs, MAX_SLEEP_MS));
     }
   }
 
@@ -120,7 +125,7 @@
       const url = balancer.pick();
       const result = await this.stream(url, arrival);
       const isRefused = result.failure === 'ECONNREFUSED';
-      if (!isRefused || tries === MOST_TRIES) {
+      if (!isRefused || tries === MAX_TRY_COUNT) {
         return this.outcomeOf(arrival, result);
       }
       balancer.reportRefused(url);
--- a/packages/stand_ins/src/measure/main.ts
+++ b/packages/stand_ins/src/measure/main.ts
@@ -1,4 +1,7 @@
-/** Measures scenarios with real entry processes against the stand-ins. */
+/**
+ * Command that measures scenarios and experiments, with real entry processes
+ * against the stand-ins.
+ */
 
 import {writeFileSync} from 'node:fs';
 import type {PolicyName} from '@snipestage/policy/policy_set.js';
@@ -84,22 +87,24 @@
   const scenario = SCENARIOS.get(options.scenario);
   if (scenario === undefined) {
     const names = [...SCENARIOS.keys(), ...EXPERIMENTS.keys()].join(', ');
-    throw new Error(`There is no ${options.scenario}; there are ${names}.`);
+    throw new Error(
+      `Unknown scenario ${options.scenario}; known ones: ${names}.`,
+    );
   }
   await measureScenario(scenario, options);
 }
 
 await new Command('measure')
   .description('Measures the router against stand-ins on this machine.')
-  .requiredOption('--scenario <name>', 'what is to be measured')
+  .requiredOption('--scenario <name>', 'scenario or experiment to measure')
   .addOption(
     new Option(
       '--policy <name>',
-      'one policy only; all three side by side when absent',
+      'measure only this policy; by default all three, side by side',
     ).choices(POLICIES),
   )
-  .option('--runs <number>', 'how often; medians are shown', '1')
-  .option('--svg <file>', 'draw attainment over time of the first run')
+  .option('--runs <number>', 'number of runs; medians are shown', '1')
+  .option('--svg <file>', 'draw the attainment of the first run over time')
   .option('--json', 'print all figures of all runs')
   .action(measure)
   .parseAsync();
--- a/packages/stand_ins/src/measure/overhead.ts
+++ b/packages/stand_ins/src/measure/overhead.ts
@@ -1,4 +1,4 @@
-/** First-token latency that the router adds on an idle machine. */
+/** Measures the first-token latency that the router adds on an idle machine. */
 
 import {Agent} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -11,18 +11,18 @@
   idleScenario,
   type ExperimentRow,
 } from './experiment.js';
-import {setStage} from './stage.js';
+import {startTestBed} from './test_bed.js';
 
-const CALLS = 600;
-const WARM_UP_CALLS = 100;
-const PAUSE_MS = 20;
-const TOKENS = 4;
+const CALL_COUNT = 600;
+const WARM_UP_CALL_COUNT = 100;
+const PAUSE_BEFORE_CALL_MS = 20;
+const MAX_OUTPUT_TOKENS = 4;
 const MICROSECONDS_PER_MS = 1000;
 
 /**
- * Calls the engine directly and through one entry process in turns, one call
- * at a time, so that both meet the same state of the machine. The direct row
- * shows the machine's own noise.
+ * Calls the engine alternately directly and through one entry process, one call
+ * at a time, so that both see the same state of the machine. The direct row
+ * shows the noise of the machine itself.
  *
  * @example
  * console.log(formatExperiment(await measureOverhead()));
@@ -38,16 +38,16 @@
       engine: {batch: {betweenTokensMs: 5, prefillPerTokenMs: 0}},
       maxConcurrency: 16,
     });
-    const stage = await setStage(launcher, scenario, 'tiered');
-    const key = stage.accountKeys[EXPERIMENT_ACCOUNT];
+    const testBed = await startTestBed(launcher, scenario, 'tiered');
+    const key = testBed.accountKeys[EXPERIMENT_ACCOUNT];
     const headers = {authorization: `Bearer ${key}`};
-    const routerUrl = stage.deployment.entries[0].callersUrl;
+    const routerUrl = testBed.deployment.entries[0].callersUrl;
     const direct = newHistogram();
     const routed = newHistogram();
-    for (let call = 0; call < WARM_UP_CALLS + CALLS; call++) {
-      const directMs = await firstTokenMs(stage.engines[0].url, {}, agent);
+    for (let call = 0; call < WARM_UP_CALL_COUNT + CALL_COUNT; call++) {
+      const directMs = await firstTokenMs(testBed.engines[0].url, {}, agent);
       const routedMs = await firstTokenMs(routerUrl, headers, agent);
-      if (call < WARM_UP_CALLS) continue;
+      if (call < WARM_UP_CALL_COUNT) continue;
       direct.recordValue(Math.round(directMs * MICROSECONDS_PER_MS));
       routed.recordValue(Math.round(routedMs * MICROSECONDS_PER_MS));
     }
@@ -63,7 +63,7 @@
   headers: Readonly<Record<string, string>>,
   agent: Agent,
 ): Promise<number> {
-  await delay(PAUSE_MS);
+  await delay(PAUSE_BEFORE_CALL_MS);
   const sentAtMs = performance.now();
   const result = await streamCompletion({
     url,
@@ -71,12 +71,14 @@
     agent,
     body: {
       model: EXPERIMENT_MODEL,
-      max_tokens: TOKENS,
+      max_tokens: MAX_OUTPUT_TOKENS,
       messages: [{role: 'user', content: 'Patch a tent'}],
     },
   });
   if (!result.isWhole) {
-    throw new Error(`A call failed: ${result.status} ${result.failure}`);
+    throw new Error(
+      `Call failed: status ${result.status}, failure ${result.failure}`,
+    );
   }
   return result.tokenAtMs[0] - sentAtMs;
 }
--- a/packages/stand_ins/src/measure/process_usage.ts
+++ b/packages/stand_ins/src/measure/process_usage.ts
@@ -1,32 +1,32 @@
-/** What a process has used, as the Linux kernel counts it (proc(5)). */
+/** Resource usage of a process as counted by the Linux kernel (proc(5)). */
 
 import {readFileSync} from 'node:fs';
 
-/** Counted since the process began, but for the memory. */
+/** Counters since the process started, and its memory at `atMs`. */
 export interface ProcessUsage {
   readonly atMs: number;
   readonly cpuMs: number;
   readonly residentBytes: number;
-  /** Bytes read and written by system calls, nearly all on sockets. */
+  /** Bytes read and written by system calls, nearly all of them on sockets. */
   readonly readBytes: number;
   readonly writtenBytes: number;
 }
 
-/** Between two readings. */
+/** Usage between two readings; memory is that of the second one. */
 export interface UsageRate {
-  /** Of one core, 0 to 1. */
+  /** CPU time of all threads over elapsed time; 1 is one fully used core. */
   readonly cpuShare: number;
   readonly residentMegabytes: number;
   readonly readKilobytesPerSecond: number;
   readonly writtenKilobytesPerSecond: number;
 }
 
-/** The kernel's clock ticks; 100 a second on every supported machine. */
+/** The kernel's clock tick: 100 a second on all supported machines. */
 const MS_PER_TICK = 10;
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
-const KILOBYTE = 1024;
-const MEGABYTE = KILOBYTE * KILOBYTE;
+const BYTES_PER_KILOBYTE = 1024;
+const BYTES_PER_MEGABYTE = BYTES_PER_KILOBYTE * BYTES_PER_KILOBYTE;
 const MS_PER_SECOND = 1000;
 
 /**
@@ -37,7 +37,7 @@
  */
 export function readProcessUsage(pid: number): ProcessUsage {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-  // The second field, the name, may hold blanks; it ends with a bracket.
+  // The second field, the command's name in parentheses, may contain spaces.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const ticks =
     Number(fields[USER_TICKS_FIELD]) + Number(fields[SYSTEM_TICKS_FIELD]);
@@ -46,14 +46,14 @@
   return {
     atMs: performance.now(),
     cpuMs: ticks * MS_PER_TICK,
-    residentBytes: numberAfter(status, 'VmRSS:') * KILOBYTE,
+    residentBytes: numberAfter(status, 'VmRSS:') * BYTES_PER_KILOBYTE,
     readBytes: numberAfter(io, 'rchar:'),
     writtenBytes: numberAfter(io, 'wchar:'),
   };
 }
 
 /**
- * The rates between two readings.
+ * Computes the rates between two readings.
  *
  * @example
  * const {cpuShare} = usageBetween(before, readProcessUsage(pid));
@@ -64,10 +64,10 @@
 ): UsageRate {
   const elapsedMs = after.atMs - before.atMs;
   const kilobytesPerSecond = (bytes: number): number =>
-    bytes / KILOBYTE / (elapsedMs / MS_PER_SECOND);
+    bytes / BYTES_PER_KILOBYTE / (elapsedMs / MS_PER_SECOND);
   return {
     cpuShare: (after.cpuMs - before.cpuMs) / elapsedMs,
-    residentMegabytes: after.residentBytes / MEGABYTE,
+    residentMegabytes: after.residentBytes / BYTES_PER_MEGABYTE,
     readKilobytesPerSecond: kilobytesPerSecond(
       after.readBytes - before.readBytes,
     ),
--- a/packages/stand_ins/src/measure/run_scenario.ts
+++ b/packages/stand_ins/src/measure/run_scenario.ts
@@ -11,26 +11,26 @@
 import {assembleFigures, type RunFigures} from './figures.js';
 import {Load, type Outcome} from './load.js';
 import type {Scenario} from './scenario.js';
-import {setStage, USAGE_SETTINGS, type Stage} from './stage.js';
+import {startTestBed, USAGE_SETTINGS, type TestBed} from './test_bed.js';
 import {
   checkUsage,
   type ReceivedReport,
   type UsageCheck,
 } from './usage_check.js';
 
-/** What a run gives. */
+/** Result of a run. */
 export interface ScenarioRun {
   readonly figures: RunFigures;
   readonly outcomes: readonly Outcome[];
 }
 
-/** Beyond the longest deadline, for refusals to arrive. */
+/** Added to the longest deadline, so that refusals can still arrive. */
 const DRAIN_MARGIN_MS = 5000;
-/** Beyond the windows themselves, for the reporter's rounds. */
+/** Added to the usage window and its grace time, for the reporter's rounds. */
 const REPORT_MARGIN_MS = 2000;
 
 /**
- * Sets the stage, sends the load, and reads what came of it.
+ * Starts the test bed, sends the load and computes the figures.
  *
  * @example
  * const {figures} = await runScenario(scenario, 'tiered');
@@ -41,40 +41,43 @@
 ): Promise<ScenarioRun> {
   const launcher = new Launcher();
   try {
-    const stage = await setStage(launcher, scenario, policy);
-    return await playOn(stage, scenario);
+    const testBed = await startTestBed(launcher, scenario, policy);
+    return await runIn(testBed, scenario);
   } finally {
     await launcher.close();
   }
 }
 
-async function playOn(stage: Stage, scenario: Scenario): Promise<ScenarioRun> {
+async function runIn(
+  testBed: TestBed,
+  scenario: Scenario,
+): Promise<ScenarioRun> {
   const balancer = new Balancer({
-    urls: stage.deployment.entries.map(({callersUrl}) => callersUrl),
+    urls: testBed.deployment.entries.map(({callersUrl}) => callersUrl),
   });
   balancer.start();
   const options = {
     balancer,
-    accountKeys: stage.accountKeys,
+    accountKeys: testBed.accountKeys,
     model: scenario.model,
     engineSeed: scenario.engines.options.seed ?? 0,
     drainMs: longestDeadlineMs(scenario) + DRAIN_MARGIN_MS,
   };
   const startedAtMs = performance.now();
-  const stopEvents = scheduleEvents(stage, scenario.events ?? []);
+  const stopEvents = scheduleEvents(testBed, scenario.events ?? []);
   const [outcomes, serviceOutcomes] = await Promise.all([
     new Load(options).run(assembleArrivals(scenario)),
     new Load(options).runService(assembleServiceArrivals(scenario)),
   ]);
   stopEvents();
   balancer.stop();
-  await Promise.all(stage.engines.map(readCounters));
-  const engines = sumEngines(stage.engines, {
+  await Promise.all(testBed.engines.map(readCounters));
+  const engines = sumEngines(testBed.engines, {
     fromMs: startedAtMs,
     toMs: performance.now(),
   });
-  const usage = await readUsage(stage, outcomes);
-  const serviceRecords = await readServiceRecords(stage);
+  const usage = await readUsage(testBed, outcomes);
+  const serviceRecords = await readServiceRecords(testBed);
   const figures = assembleFigures({
     scenario,
     outcomes,
@@ -86,7 +89,7 @@
   return {figures, outcomes};
 }
 
-/** What runs until then is the router's to end, not the measurement's. */
+/** Up to this deadline the router ends requests, not the measurement. */
 function longestDeadlineMs(scenario: Scenario): number {
   const deadlines = Object.values(scenario.classes).map(
     ({deadlineMs}) => deadlineMs,
@@ -95,22 +98,22 @@
 }
 
 async function readUsage(
-  stage: Stage,
+  testBed: TestBed,
   outcomes: readonly Outcome[],
 ): Promise<UsageCheck> {
   const {graceMs, windowMs} = USAGE_SETTINGS;
   await delay(windowMs + graceMs + REPORT_MARGIN_MS);
-  const log = await got(`${stage.platform.url}/control/log`).json<{
+  const log = await got(`${testBed.platform.url}/control/log`).json<{
     reports: ReceivedReport[];
   }>();
   return checkUsage(log.reports, outcomes);
 }
 
 async function readServiceRecords(
-  stage: Stage,
+  testBed: TestBed,
 ): Promise<Array<{call: string}>> {
   const logs = await Promise.all(
-    stage.services.map(({url}) =>
+    testBed.services.map(({url}) =>
       got(`${url}/control/log`).json<{
         records: Array<{content: {call: string}}>;
       }>(),
--- a/packages/stand_ins/src/measure/scenario.ts
+++ b/packages/stand_ins/src/measure/scenario.ts
@@ -1,4 +1,4 @@
-/** A scenario as data: who asks for what, what serves it, what goes wrong. */
+/** Types that describe a scenario: its load, its endpoints and its faults. */
 
 import type {
   EndpointKind,
@@ -8,18 +8,18 @@
 import type {EngineStandInOptions} from '../engine/engine_stand_in.js';
 import type {PlatformControl} from '../platform/platform_control.js';
 
-/** A client account's part of a stream's requests. */
+/** A client account's share of a stream's requests, by weight. */
 export interface AccountShare {
   readonly account: string;
   readonly weight: number;
 }
 
-/** A stretch of the run with another rate. */
+/** An interval of the run in which the rate is multiplied by `factor`. */
 export interface RateChange {
   readonly fromMs: number;
   readonly toMs: number;
   readonly factor: number;
-  /** Hits only this account's part when given. */
+  /** Restricts the change to this account's requests when given. */
   readonly account?: string;
 }
 
@@ -29,20 +29,20 @@
   readonly ratePerSecond: number;
   readonly accounts: readonly AccountShare[];
   readonly meanOutputTokens: number;
-  /** Words of the manual or history at the start of each prompt. */
+  /** Number of words of the manual or history at the start of each prompt. */
   readonly sharedWords: number;
   readonly rateChanges?: readonly RateChange[];
-  /** One request, sent again and again, that crashes what runs it. */
+  /** Sends one request again and again that crashes each engine running it. */
   readonly isPoison?: boolean;
 }
 
-/** Calls of a plain service that may not be repeated. */
+/** Calls of a plain service that must not be repeated (not idempotent). */
 export interface ServiceStream {
   readonly ratePerSecond: number;
   readonly account: string;
 }
 
-/** Something that goes wrong, or right again. */
+/** A change during the run, which begins or ends a fault. */
 export type ScenarioAction =
   | {readonly kind: 'lose_data_centre'; readonly dataCentre: string}
   | {readonly kind: 'reclaim_cheap'; readonly dataCentre: string}
@@ -60,7 +60,7 @@
   readonly action: ScenarioAction;
 }
 
-/** A stretch of the run for which attainment is told by itself. */
+/** An interval of the run for which attainment is reported separately. */
 export interface Phase {
   readonly name: string;
   readonly fromMs: number;
@@ -75,7 +75,7 @@
   readonly maxConcurrency: number;
 }
 
-/** The classes as the ticket has them, by id. */
+/** Fields of a request class that a scenario sets in its ticket. */
 export type ScenarioClass = Pick<
   RequestClass,
   | 'tier'
@@ -86,7 +86,7 @@
   | 'cheapEndpointsAllowed'
 >;
 
-/** One scenario; everything random comes from its seed. */
+/** One scenario; its arrivals are drawn from `seed`. */
 export interface Scenario {
   readonly name: string;
   readonly about: string;
@@ -103,7 +103,7 @@
   readonly phases?: readonly Phase[];
 }
 
-/** Price of an endpoint, so that spend can be compared. */
+/** Price of an endpoint by kind, so that spend can be compared. */
 export const PRICE_PER_HOUR: Readonly<Record<EndpointKind, number>> = {
   regular: 4,
   cheap: 1.2,
--- a/packages/stand_ins/src/measure/scenarios.ts
+++ b/packages/stand_ins/src/measure/scenarios.ts
@@ -14,21 +14,24 @@
 } from './scenario.js';
 
 const DURATION_MS = 30_000;
-const TROUBLE_FROM_MS = 10_000;
-const TROUBLE_TO_MS = 20_000;
+const DISTURBANCE_FROM_MS = 10_000;
+const DISTURBANCE_TO_MS = 20_000;
 const SEED = 20_261_202;
 
 const PHASES: readonly Phase[] = [
-  {name: 'before', fromMs: 0, toMs: TROUBLE_FROM_MS},
-  {name: 'during', fromMs: TROUBLE_FROM_MS, toMs: TROUBLE_TO_MS},
-  {name: 'after', fromMs: TROUBLE_TO_MS, toMs: DURATION_MS},
+  {name: 'before', fromMs: 0, toMs: DISTURBANCE_FROM_MS},
+  {name: 'during', fromMs: DISTURBANCE_FROM_MS, toMs: DISTURBANCE_TO_MS},
+  {name: 'after', fromMs: DISTURBANCE_TO_MS, toMs: DURATION_MS},
 ];
 
-/** Something goes wrong in the middle of the run, and right again. */
-function during(begin: ScenarioAction, end: ScenarioAction): ScenarioEvent[] {
+/** Events that begin a fault in the middle of the run and end it again. */
+function duringDisturbance(
+  begin: ScenarioAction,
+  end: ScenarioAction,
+): ScenarioEvent[] {
   return [
-    {atMs: TROUBLE_FROM_MS, action: begin},
-    {atMs: TROUBLE_TO_MS, action: end},
+    {atMs: DISTURBANCE_FROM_MS, action: begin},
+    {atMs: DISTURBANCE_TO_MS, action: end},
   ];
 }
 
@@ -36,7 +39,7 @@
   return {kind: 'control_platform', command: {faults: {'*': {mode}}}};
 }
 
-/** About 300 tokens a second each when full. */
+/** Each engine produces about 300 tokens per second when full. */
 const ENGINES: EngineFleet = {
   regularPerDataCentre: 2,
   cheapPerDataCentre: 1,
@@ -82,7 +85,7 @@
 };
 
 /** A few large accounts and many small ones. */
-const SHOPS: readonly AccountShare[] = [
+const KOWHAI_ACCOUNTS: readonly AccountShare[] = [
   {account: 'central', weight: 30},
   {account: 'harbour', weight: 20},
   {account: 'alpine', weight: 15},
@@ -96,21 +99,21 @@
   {
     requestClass: 'counter',
     ratePerSecond: 20,
-    accounts: SHOPS,
+    accounts: KOWHAI_ACCOUNTS,
     meanOutputTokens: 16,
     sharedWords: 96,
   },
   {
     requestClass: 'quote',
     ratePerSecond: 15,
-    accounts: SHOPS,
+    accounts: KOWHAI_ACCOUNTS,
     meanOutputTokens: 32,
     sharedWords: 160,
   },
   {
     requestClass: 'summary',
     ratePerSecond: 10,
-    accounts: SHOPS,
+    accounts: KOWHAI_ACCOUNTS,
     meanOutputTokens: 48,
     sharedWords: 320,
   },
@@ -130,7 +133,7 @@
   service: {ratePerSecond: 4, account: 'central'},
 };
 
-const CREWS: readonly AccountShare[] = [
+const TRILHA_ACCOUNTS: readonly AccountShare[] = [
   {account: 'litoral', weight: 30},
   {account: 'serra', weight: 25},
   ...['norte', 'sul', 'oeste', 'estado'].map(account => ({account, weight: 8})),
@@ -151,21 +154,21 @@
     {
       requestClass: 'report',
       ratePerSecond: 8,
-      accounts: CREWS,
+      accounts: TRILHA_ACCOUNTS,
       meanOutputTokens: 64,
       sharedWords: 480,
     },
     {
       requestClass: 'segment',
       ratePerSecond: 6,
-      accounts: CREWS,
+      accounts: TRILHA_ACCOUNTS,
       meanOutputTokens: 48,
       sharedWords: 320,
     },
     {
       requestClass: 'tag',
       ratePerSecond: 40,
-      accounts: CREWS,
+      accounts: TRILHA_ACCOUNTS,
       meanOutputTokens: 6,
       sharedWords: 32,
     },
@@ -179,8 +182,8 @@
   change: Pick<RateChange, 'factor' | 'account'>,
 ): RequestStream[] {
   const rateChange = {
-    fromMs: TROUBLE_FROM_MS,
-    toMs: TROUBLE_TO_MS,
+    fromMs: DISTURBANCE_FROM_MS,
+    toMs: DISTURBANCE_TO_MS,
     ...change,
   };
   return KOWHAI_STREAMS.map(stream =>
@@ -190,7 +193,7 @@
   );
 }
 
-/** Summaries alone come to about three times what all engines can do. */
+/** Summaries alone demand about three times the capacity of all engines. */
 const BURST: Scenario = {
   ...KOWHAI_DAY,
   name: 'burst',
@@ -210,9 +213,9 @@
 const SLOW_ENGINES: Scenario = {
   ...KOWHAI_DAY,
   name: 'slow_engines',
-  about: 'The engines of one data centre slow down six times, reports lag',
+  about: 'Engines of one data centre become six times slower, load reports lag',
   phases: PHASES,
-  events: during(
+  events: duringDisturbance(
     {
       kind: 'control_engines',
       dataCentre: 'akl-a',
@@ -229,11 +232,11 @@
 const DATA_CENTRE_LOST: Scenario = {
   ...KOWHAI_DAY,
   name: 'data_centre_lost',
-  about: 'A data centre goes with its engines and entry instances',
+  about: 'A data centre is lost with its engines and entry instances',
   phases: PHASES,
   events: [
     {
-      atMs: TROUBLE_FROM_MS,
+      atMs: DISTURBANCE_FROM_MS,
       action: {kind: 'lose_data_centre', dataCentre: 'akl-c'},
     },
   ],
@@ -247,7 +250,7 @@
   phases: PHASES,
   events: [
     {
-      atMs: TROUBLE_FROM_MS,
+      atMs: DISTURBANCE_FROM_MS,
       action: {kind: 'reclaim_cheap', dataCentre: 'akl-b'},
     },
   ],
@@ -258,7 +261,7 @@
   name: 'owner_frozen',
   about: 'An entry instance that owns cells is paused for ten seconds',
   phases: PHASES,
-  events: during({kind: 'freeze_owner'}, {kind: 'thaw_owner'}),
+  events: duringDisturbance({kind: 'freeze_owner'}, {kind: 'thaw_owner'}),
 };
 
 const POISON: Scenario = {
@@ -283,7 +286,7 @@
   name: 'platform_away',
   about: 'The platform resets every connection for ten seconds',
   phases: PHASES,
-  events: during(platformFault('down'), platformFault('ok')),
+  events: duringDisturbance(platformFault('down'), platformFault('ok')),
 };
 
 export const SCENARIOS: ReadonlyMap<string, Scenario> = new Map(
--- a/packages/stand_ins/src/measure/svg.ts
+++ b/packages/stand_ins/src/measure/svg.ts
@@ -1,4 +1,4 @@
-/** Draws attainment over time as SVG, one panel a policy. */
+/** Draws attainment over time as SVG, with one panel per policy. */
 
 import {meetsAll} from './figures.js';
 import type {Outcome} from './load.js';
@@ -17,8 +17,8 @@
 const COLOURS = ['#1b6ca8', '#c7562c', '#4f8a3c', '#7b4fa3', '#8a6d1f'];
 
 /**
- * The share of requests of each class that met all targets, by the second in
- * which they were meant to be sent.
+ * Draws the share of requests of each class that met all targets, by the second
+ * for which they were scheduled.
  *
  * @example
  * writeFileSync('burst.svg', drawAttainment(scenario, panels));
--- a/packages/stand_ins/src/measure/table.ts
+++ b/packages/stand_ins/src/measure/table.ts
@@ -1,22 +1,22 @@
-/** Prints the figures of a scenario, one column a policy. */
+/** Formats the figures of a scenario as a table with one column per policy. */
 
 import {medianOf, type RunFigures} from './figures.js';
 
-/** A measure, and its value in each run of each policy. */
+/** A measure and its value in each run, by policy. */
 export interface MeasureRow {
   readonly name: string;
   readonly values: Readonly<Record<string, readonly number[]>>;
 }
 
-type Flat = ReadonlyMap<string, number>;
+type FlatFigures = ReadonlyMap<string, number>;
 
 const NAME_WIDTH = 44;
 const VALUE_WIDTH = 24;
-/** Left to the JSON. */
-const DETAIL = /byPhase\.\w+\.(firstToken|betweenTokens|deadline)$/;
+/** Measures that only the JSON output shows. */
+const DETAIL_NAMES = /byPhase\.\w+\.(firstToken|betweenTokens|deadline)$/;
 
 /**
- * Lays the figures of all runs out by measure.
+ * Arranges the figures of all runs by measure.
  *
  * @example
  * const rows = assembleRows({tiered: [first, second]});
@@ -42,13 +42,14 @@
 }
 
 /**
- * The rows as text, less the details of phases: the median, and the lowest and highest of several runs.
+ * Formats the rows as text, without the details of phases: the median and, of
+ * several runs, the lowest and highest value.
  *
  * @example
  * console.log(formatRows(rows));
  */
 export function formatRows(rows: readonly MeasureRow[]): string {
-  const shown = rows.filter(({name}) => !DETAIL.test(name));
+  const shown = rows.filter(({name}) => !DETAIL_NAMES.test(name));
   const policies = Object.keys(rows[0]?.values ?? {});
   const head = ['measure'.padEnd(NAME_WIDTH), ...policies.map(pad)].join('');
   const lines = shown.map(row => {
@@ -75,8 +76,8 @@
   return text.padStart(VALUE_WIDTH);
 }
 
-/** Nested figures as `classes.counter.all` and the like. */
-function flatten(figures: RunFigures): Flat {
+/** Flattens nested figures to names such as `classes.counter.all`. */
+function flatten(figures: RunFigures): FlatFigures {
   const flat = new Map<string, number>();
   const add = (prefix: string, value: unknown): void => {
     if (typeof value === 'number') flat.set(prefix, value);
--- a/packages/stand_ins/src/measure/stage.ts
+++ b/packages/stand_ins/src/measure/test_bed.ts
@@ -1,4 +1,4 @@
-/** Sets a scenario up: stand-ins, entry processes and the configuration. */
+/** Sets up a scenario: stand-ins, entry processes and the configuration. */
 
 import {generateKey, hashKey} from '@snipestage/configuration/key_hash.js';
 import type {PolicyName} from '@snipestage/policy/policy_set.js';
@@ -8,8 +8,8 @@
 import type {RunEngine} from './engine_totals.js';
 import type {Scenario} from './scenario.js';
 
-/** A scenario that is ready to begin. */
-export interface Stage {
+/** The processes of a scenario, configured and ready for its load. */
+export interface TestBed {
   readonly platform: LaunchedStandIn;
   readonly deployment: Deployment;
   readonly services: readonly LaunchedStandIn[];
@@ -27,17 +27,17 @@
 const MAX_WAITING_PER_CELL = 2000;
 
 /**
- * Starts everything and waits until the configuration is in force.
+ * Starts all processes and waits until the configuration is in force.
  *
  * @example
- * const stage = await setStage(launcher, scenario, 'tiered');
+ * const testBed = await startTestBed(launcher, scenario, 'tiered');
  */
-export async function setStage(
+export async function startTestBed(
   launcher: Launcher,
   scenario: Scenario,
   policy: PolicyName,
   entryCount = scenario.dataCentres.length * scenario.entriesPerDataCentre,
-): Promise<Stage> {
+): Promise<TestBed> {
   const platform = await launcher.launchStandIn('platform');
   const {engineHosts, engines} = await startEngines(launcher, scenario);
   const services = await startServices(launcher, scenario);
@@ -67,7 +67,7 @@
 async function startEngines(
   launcher: Launcher,
   scenario: Scenario,
-): Promise<Pick<Stage, 'engines' | 'engineHosts'>> {
+): Promise<Pick<TestBed, 'engines' | 'engineHosts'>> {
   const {cheapPerDataCentre, options, regularPerDataCentre} = scenario.engines;
   const count = String(regularPerDataCentre + cheapPerDataCentre);
   const engineHosts = new Map<string, LaunchedStandIn>();
@@ -177,7 +177,7 @@
   ];
 }
 
-/** Plain values get their brands here; the ticket's schema checks them. */
+/** Casts plain values to branded types; the ticket's schema validates them. */
 function change(kind: ObjectChange['kind'], id: string, state: object) {
   return {kind, id, state} as ObjectChange;
 }
--- a/packages/stand_ins/src/measure/usage_check.ts
+++ b/packages/stand_ins/src/measure/usage_check.ts
@@ -1,21 +1,21 @@
-/** Compares the usage that was reported with what callers got. */
+/** Compares the reported usage with the answers that callers received. */
 
 import type {UsageReport} from '@snipestage/types/platform_messages.js';
 import type {Outcome} from './load.js';
 
-/** What the platform got of usage reports. */
+/** Usage that was reported to the platform, compared with the answers. */
 export interface UsageCheck {
   readonly windowsReported: number;
-  /** Windows reported with different figures. */
+  /** Windows reported again with different figures. */
   readonly windowsContradicted: number;
-  /** Tokens of whole answers that callers got. */
+  /** Tokens of the complete answers that callers received. */
   readonly deliveredTokens: number;
   readonly reportedTokens: number;
-  /** Client accounts billed for fewer tokens than their whole answers had. */
+  /** Client accounts billed for fewer tokens than their complete answers. */
   readonly accountsBilledTooLittle: number;
 }
 
-/** One report as it arrived. */
+/** One report that the platform received, and the status of its answer. */
 export interface ReceivedReport {
   readonly status: number;
   readonly content: UsageReport;
@@ -24,7 +24,7 @@
 const HTTP_OK = 200;
 
 /**
- * Checks the reports of a run.
+ * Checks the reports of a run against its outcomes.
  *
  * @example
  * const check = checkUsage(log.reports, outcomes);
--- a/scripts/install_missing.js
+++ b/scripts/install_missing.js
@@ -1,5 +1,5 @@
 /**
- * Installs the packages named by the lock file when they are not there yet, so
+ * Installs the packages of the lock file when they are not installed yet, so
  * that the commands of the README work on a fresh clone.
  */
 import {execFileSync} from 'node:child_process';
@@ -7,7 +7,7 @@
 
 const INSTALLED_LOCK = 'node_modules/.package-lock.json';
 
-/** The install's own lock file lists what is there; `npm ci` writes it last. */
+/** npm's hidden lock file lists what is installed; `npm ci` writes it last. */
 function isComplete() {
   if (!existsSync(INSTALLED_LOCK)) return false;
   const installed = JSON.parse(readFileSync(INSTALLED_LOCK, 'utf8')).packages;
--- a/scripts/run_tests.js
+++ b/scripts/run_tests.js
@@ -1,6 +1,6 @@
 /**
- * Runs the tests and closes with a line `N passed, N failed`. Tests listed in
- * KNOWN-RED.txt are printed and passed over when they fail; any other failure
+ * Runs the tests and prints `N passed, N failed` as its last line. Failures of
+ * tests listed in KNOWN-RED.txt are printed but tolerated; any other failure
  * fails the run.
  */
 import {spawn} from 'node:child_process';
@@ -47,7 +47,7 @@
 const unexpected = failures.filter(title => !knownRed.includes(title));
 for (const title of expected) console.log(`known red: ${title}`);
 for (const title of unexpected) console.log(`failed: ${title}`);
-// A run that dies before its tests would otherwise count as having none red.
+// Otherwise a run that ends before its tests would count as having no failures.
 const died = code !== 0 && failures.length === 0;
 console.log(`${passed} passed, ${unexpected.length + (died ? 1 : 0)} failed`);
 process.exitCode = unexpected.length > 0 || died || passed === 0 ? 1 : 0;
