--- a/packages/soak/src/balancer_rule.ts
+++ b/packages/soak/src/balancer_rule.ts
@@ -1,15 +1,17 @@
-/** To which instances a balancer sends a caller's new connection. */
+/**
+ * The rule by which a balancer picks instances for a caller's new connection.
+ */
 
 import type {DataCentreId} from '@snipestage/types/ids.js';
 
 /** An instance as its balancer sees it. */
 export interface BalancedInstance {
   readonly dataCentre: DataCentreId;
-  /** Answered one of the last two questions whether it is ready. */
+  /** Answered at least one of the last two readiness probes. */
   readonly isInRotation: boolean;
 }
 
-/** What a choice is made from. */
+/** Input of {@link listCandidates}. */
 export interface BalancerView<Instance extends BalancedInstance> {
   readonly instances: readonly Instance[];
   /** The caller's own data centre first, then the others by their distance. */
@@ -17,10 +19,11 @@
 }
 
 /**
- * The nearest data centre with an instance in rotation serves. Where fewer than
- * half of its instances are in rotation all of them are used: rather those that
- * may still work than a few that would be overrun. So new connections also reach
- * instances that have said long ago that they stop.
+ * Lists the instances of the nearest data centre that has one in rotation:
+ * those in rotation or, when they are fewer than half, all of them, because the
+ * few would be overloaded and the others may still work. New connections
+ * therefore also reach instances that announced their stop long before. With
+ * none in rotation anywhere, all instances are candidates.
  *
  * @example
  * const instances = listCandidates({instances: seen, dataCentres: ['a', 'b']});
--- a/packages/soak/src/bounds.ts
+++ b/packages/soak/src/bounds.ts
@@ -1,8 +1,8 @@
-/** The bounds of the deployment that a soak plays. */
+/** Time bounds of the deployment that a soak simulates. */
 
 import type {Bounds} from '@snipestage/platform_stand_ins/settings_text.js';
 
-/** Figures like those of the smaller deployments. */
+/** Similar to those of the smaller deployments. */
 export const BOUNDS: Bounds = {
   contactMs: 3000,
   configurationMs: 2000,
--- a/packages/soak/src/checks/all_checks.ts
+++ b/packages/soak/src/checks/all_checks.ts
@@ -1,4 +1,4 @@
-/** Every promise that a soak checks. */
+/** All checks of a soak, one for each guarantee. */
 
 import type {History} from '../history.js';
 import {
@@ -52,7 +52,7 @@
 ];
 
 /**
- * All promises that were broken, the earliest first.
+ * Returns the findings of all checks, the earliest first.
  *
  * @example
  * const findings = checkAll(history);
--- a/packages/soak/src/checks/answers.ts
+++ b/packages/soak/src/checks/answers.ts
@@ -1,46 +1,51 @@
-/** What callers are told has to be true, whole and their own. */
+/** Answers that callers get are true, complete and to their own requests. */
 
 import {
   digest,
   completeStreamText,
 } from '@snipestage/platform_stand_ins/endpoint_stand_in.js';
 import type {History, Outcome, SentRequest} from '../history.js';
-import {Check, mayRunOnce, type Finding} from './check.js';
+import {Check, mayRunOnlyOnce, type Finding} from './check.js';
 
 type Answered = Extract<Outcome, {kind: 'answered'}>;
 
-/** Statuses that say that a request has not run and never will. */
-const PROMISING: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that state that a request has not run and never will. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** A request that may not be repeated runs once at most. */
+/** A request that must not be repeated runs at most once. */
 export class AtMostOnce extends Check {
   readonly name = 'at_most_once';
 
   find(history: History): readonly Finding[] {
     return history.requests.flatMap(request => {
       const runs = history.runsOf(request.requestId).length;
-      const isBroken = mayRunOnce(request) && runs > 1;
+      const isBroken = mayRunOnlyOnce(request) && runs > 1;
       return isBroken ? [this.foundFor(request, `${runs} runs`)] : [];
     });
   }
 }
 
-/** A refusal that promises that a request has not run is true for ever. */
+/** A request refused as not run has not run, and never runs later. */
 export class TrueRefusal extends Check {
   readonly name = 'true_refusal';
 
   find(history: History): readonly Finding[] {
     return history.requests.flatMap(request => {
       const {outcome} = request;
-      if (outcome?.kind !== 'answered' || !mayRunOnce(request)) return [];
-      if (!PROMISING.has(outcome.status)) return [];
+      if (outcome?.kind !== 'answered' || !mayRunOnlyOnce(request)) return [];
+      if (!NOT_RUN_STATUSES.has(outcome.status)) return [];
       const runs = history.runsOf(request.requestId).length;
-      return runs === 0 ? [] : [this.foundFor(request, 'it had run')];
+      return runs === 0
+        ? []
+        : [this.foundFor(request, 'refused as not run, but it had run')];
     });
   }
 }
 
-/** A success is the whole answer of an endpoint to this very request. */
+/**
+ * A success, like any signed answer, is an endpoint's complete answer to this
+ * request.
+ */
 export class OwnWholeAnswer extends Check {
   readonly name = 'own_whole_answer';
 
@@ -48,12 +53,12 @@
     return history.requests.flatMap(request => {
       const {outcome} = request;
       if (outcome?.kind !== 'answered') return [];
-      const fault = this.faultOf(history, request, outcome);
+      const fault = this.describeFault(history, request, outcome);
       return fault === undefined ? [] : [this.foundFor(request, fault)];
     });
   }
 
-  private faultOf(
+  private describeFault(
     history: History,
     request: SentRequest,
     outcome: Answered,
@@ -67,9 +72,9 @@
       .runsOf(request.requestId)
       .find(each => each.signature === signature);
     if (run === undefined) return 'the signature of another request';
-    if (run.status !== status) return `the endpoint had said ${run.status}`;
-    if (outcome.answersRequest !== request.requestId) {
-      return `it names ${outcome.answersRequest}`;
+    if (run.status !== status) return `the endpoint had answered ${run.status}`;
+    if (outcome.answeredRequestId !== request.requestId) {
+      return `the answer names ${outcome.answeredRequestId}`;
     }
     const expected =
       request.kind === 'stream' && isSuccess
@@ -79,7 +84,7 @@
   }
 }
 
-/** Endpoints get what callers sent, in the name of whose key it was. */
+/** Endpoints get requests unchanged, under the client account of their key. */
 export class UnchangedRequest extends Check {
   readonly name = 'unchanged_request';
 
@@ -89,8 +94,8 @@
       const request = known.get(run.requestId);
       if (request === undefined) {
         const where = `${run.path} at ${run.endpoint}`;
-        const what = `nobody sent ${run.requestId} (${where})`;
-        return [this.found(what, run.arrivedAtMs)];
+        const message = `no caller sent ${run.requestId} (${where})`;
+        return [this.found(message, run.arrivedAtMs)];
       }
       const faults = [
         run.path === request.path ? undefined : 'another path',
@@ -105,20 +110,22 @@
   }
 }
 
-/** How long past its time a caller may be kept without a final answer. */
-const LATE_ANSWER_MS = 500;
+/**
+ * Disturbances up to this long after the caller's timeout excuse its instance.
+ */
+const ANSWER_SLACK_MS = 500;
 
-/** Whoever is given up on is told so at once. */
+/** A caller gets a final answer even when its request is given up. */
 export class AnswerInTime extends Check {
   readonly name = 'answer_in_time';
 
   find(history: History): readonly Finding[] {
     return history.requests.flatMap(request => {
       const {sentAtMs, callerTimeoutMs, outcome, instance} = request;
-      const dueMs = sentAtMs + callerTimeoutMs + LATE_ANSWER_MS;
+      const dueMs = sentAtMs + callerTimeoutMs + ANSWER_SLACK_MS;
       const isLate =
         outcome?.kind === 'unanswered' &&
-        history.isInTouch(instance, sentAtMs, dueMs) &&
+        history.hadStoreContact(instance, sentAtMs, dueMs) &&
         !wentSilent(history, request);
       return isLate ? [this.foundFor(request, 'no final answer')] : [];
     });
@@ -127,8 +134,8 @@
 
 /**
  * Whether the caller's connection was open when those to its instance went
- * silent: it carries nothing for good, and the instance gets no request on it,
- * however long ago that was.
+ * silent. Such a connection carries nothing ever after, so the instance gets no
+ * request on it, however long ago that was.
  */
 function wentSilent(
   history: History,
@@ -143,10 +150,10 @@
   );
 }
 
-/** Statuses with which a proper request is turned away for what it asks. */
-const DENIALS: ReadonlySet<number> = new Set([401, 403, 404]);
+/** Statuses that deny a valid request for its key, its account or its path. */
+const DENIAL_STATUSES: ReadonlySet<number> = new Set([401, 403, 404]);
 
-/** What every configuration allows is never denied. */
+/** A request that every configuration allows is never denied. */
 export class NoFalseDenial extends Check {
   readonly name = 'no_false_denial';
 
@@ -156,7 +163,7 @@
       const isAlwaysAllowed =
         marker === undefined && !history.keyWithdrawals.has(key);
       const isDenied =
-        outcome?.kind === 'answered' && DENIALS.has(outcome.status);
+        outcome?.kind === 'answered' && DENIAL_STATUSES.has(outcome.status);
       if (!isAlwaysAllowed || !isDenied) return [];
       return [this.foundFor(request, 'denied')];
     });
--- a/packages/soak/src/checks/changes.ts
+++ b/packages/soak/src/checks/changes.ts
@@ -1,12 +1,12 @@
-/** What the operator and the endpoints change is in force in time, for good. */
+/** Changes by the operator and by endpoints take effect in time and last. */
 
 import {brandAs, type EndpointId} from '@snipestage/types/ids.js';
 import type {History, SentRequest} from '../history.js';
 import {Check, type Finding} from './check.js';
 
-const NOT_FOUND = 404;
+const NOT_FOUND_STATUS = 404;
 
-/** A key that was withdrawn opens nothing. */
+/** No request runs under a withdrawn key. */
 export class WithdrawnKeys extends Check {
   readonly name = 'withdrawn_keys';
 
@@ -17,7 +17,7 @@
       const {sentAtMs, instance, requestId} = request;
       const isBound =
         sentAtMs > withdrawnAtMs + history.bounds.configurationMs &&
-        history.isInTouch(instance, sentAtMs);
+        history.hadStoreContact(instance, sentAtMs);
       const hasRun = history.runsOf(requestId).length > 0;
       return isBound && hasRun
         ? [this.foundFor(request, 'ran under a withdrawn key')]
@@ -26,7 +26,7 @@
   }
 }
 
-/** An endpoint that has said that it leaves gets no new requests. */
+/** An endpoint that has announced its leaving gets no new requests. */
 export class LeavingEndpoints extends Check {
   readonly name = 'leaving_endpoints';
 
@@ -39,15 +39,15 @@
       const lateMs = run.arrivedAtMs - noticedAtMs - history.bounds.drainMs;
       const isBound =
         lateMs > 0 &&
-        history.isInTouch(request.instance, run.arrivedAtMs) &&
-        history.isCalm(
+        history.hadStoreContact(request.instance, run.arrivedAtMs) &&
+        history.isUndisturbed(
           ['store', brandAs<EndpointId>(run.endpoint)],
           noticedAtMs - history.bounds.contactMs,
           noticedAtMs,
         );
       if (!isBound) return [];
-      const what = `reached ${run.endpoint} ${Math.round(lateMs)} ms too late`;
-      return [this.foundFor(request, what)];
+      const message = `reached ${run.endpoint} ${Math.round(lateMs)} ms too late`;
+      return [this.foundFor(request, message)];
     });
   }
 }
@@ -62,14 +62,14 @@
       const request = known.get(run.requestId);
       if (request === undefined) return [];
       const {arrivedAtMs, endpoint} = run;
-      const dataCentre = history.endpointPlaces.get(endpoint);
+      const dataCentre = history.endpointDataCentres.get(endpoint);
       const isEvacuated = history.evacuations.some(
         each =>
           each.dataCentre === dataCentre &&
           arrivedAtMs > each.fromMs + history.bounds.configurationMs &&
           arrivedAtMs < each.toMs,
       );
-      const isBound = history.isInTouch(request.instance, arrivedAtMs);
+      const isBound = history.hadStoreContact(request.instance, arrivedAtMs);
       return isEvacuated && isBound
         ? [this.foundFor(request, `reached ${endpoint} in ${dataCentre}`)]
         : [];
@@ -77,27 +77,27 @@
   }
 }
 
-/** A new version is in force in time where the store can be reached. */
+/** A new configuration takes effect in time where the store can be reached. */
 export class TimelyConfiguration extends Check {
   readonly name = 'timely_configuration';
 
   find(history: History): readonly Finding[] {
     return history.requests.flatMap(request => {
       const addedAtMs = history.markers.get(request.marker ?? -1);
-      if (addedAtMs === undefined || !isUnknown(request)) return [];
+      if (addedAtMs === undefined || !isRouteUnknown(request)) return [];
       const {sentAtMs, instance} = request;
       const isBound =
         sentAtMs > addedAtMs + history.bounds.configurationMs &&
-        history.isInTouch(instance, sentAtMs);
-      return isBound ? [this.foundFor(request, 'not yet known')] : [];
+        history.hadStoreContact(instance, sentAtMs);
+      return isBound ? [this.foundFor(request, 'marker not yet known')] : [];
     });
   }
 }
 
-/** How long after the first sight of a version an older one may still show. */
+/** An older version may still show this long after a newer was first seen. */
 const ROLLBACK_SLACK_MS = 250;
 
-/** In one life of a process the configuration never goes back. */
+/** Within one process the configuration never returns to an older version. */
 export class RisingConfiguration extends Check {
   readonly name = 'rising_configuration';
 
@@ -112,19 +112,21 @@
       firstSeenMs.set(key, Math.min(before, endedAtMs));
     }
     return history.requests.flatMap(request => {
-      if (request.marker === undefined || !isUnknown(request)) return [];
+      if (request.marker === undefined || !isRouteUnknown(request)) return [];
       const seenMs = firstSeenMs.get(keyOf(request, request.marker));
       if (seenMs === undefined) return [];
-      const isBack = request.sentAtMs > seenMs + ROLLBACK_SLACK_MS;
-      return isBack ? [this.foundFor(request, 'no longer known')] : [];
+      const hasRolledBack = request.sentAtMs > seenMs + ROLLBACK_SLACK_MS;
+      return hasRolledBack
+        ? [this.foundFor(request, 'marker no longer known')]
+        : [];
     });
   }
 }
 
-function isUnknown({outcome}: SentRequest): boolean {
-  return outcome?.kind === 'answered' && outcome.status === NOT_FOUND;
+function isRouteUnknown({outcome}: SentRequest): boolean {
+  return outcome?.kind === 'answered' && outcome.status === NOT_FOUND_STATUS;
 }
 
-function keyOf({instance, life}: SentRequest, marker: number): string {
-  return `${instance} ${life} ${marker}`;
+function keyOf({instance, processNumber}: SentRequest, marker: number): string {
+  return `${instance} ${processNumber} ${marker}`;
 }
--- a/packages/soak/src/checks/check.ts
+++ b/packages/soak/src/checks/check.ts
@@ -1,38 +1,38 @@
-/** A promise of the system, checked on what was seen. */
+/** Base of the checks, each of one guarantee of the system. */
 
 import type {History, SentRequest} from '../history.js';
 
-/** A promise that was broken. */
+/** A violation of a guarantee. */
 export interface Finding {
   readonly check: string;
-  readonly what: string;
+  readonly message: string;
   readonly requestId?: string;
   readonly atMs: number;
 }
 
-/** Looks through a history for what breaks one promise. */
+/** Searches a history for violations of one guarantee. */
 export abstract class Check {
   abstract readonly name: string;
   abstract find(history: History): readonly Finding[];
 
-  protected found(what: string, atMs: number): Finding {
-    return {check: this.name, what, atMs};
+  protected found(message: string, atMs: number): Finding {
+    return {check: this.name, message, atMs};
   }
 
-  protected foundFor(request: SentRequest, what: string): Finding {
+  protected foundFor(request: SentRequest, message: string): Finding {
     const {requestId, sentAtMs, instance, path} = request;
     const where = `${path} at ${instance}`;
     return {
       check: this.name,
-      what: `${what} (${where}, ${describeOutcome(request)})`,
+      message: `${message} (${where}, ${describeOutcome(request)})`,
       requestId,
       atMs: sentAtMs,
     };
   }
 }
 
-/** Whether a request of this kind may run once only. */
-export function mayRunOnce({kind, isResumable}: SentRequest): boolean {
+/** Whether a request of this kind must not run more than once. */
+export function mayRunOnlyOnce({kind, isResumable}: SentRequest): boolean {
   return kind === 'non_idempotent' || (kind === 'stream' && !isResumable);
 }
 
--- a/packages/soak/src/checks/checks.test.ts
+++ b/packages/soak/src/checks/checks.test.ts
@@ -18,7 +18,7 @@
   kind: 'answered',
   status: 503,
   signature: undefined,
-  answersRequest: undefined,
+  answeredRequestId: undefined,
   bodyDigest: '',
 } as const;
 const SOUND_ANSWER = makeRequest().outcome!;
@@ -39,7 +39,7 @@
   return findersIn(history);
 }
 
-test('a request that was answered well breaks nothing', t => {
+test('a request that was answered properly gives no finding', t => {
   t.deepEqual(findersOf({}), []);
 });
 
@@ -49,24 +49,24 @@
 });
 
 test('a booking that two endpoints ran is found', t => {
-  // The customer is charged twice.
+  // Guards against charging a customer twice.
   const runs = [makeRun(), makeRun({endpoint: 'booking-1.1', signature: 's2'})];
   t.deepEqual(findersOf({}, runs), ['at_most_once']);
   t.deepEqual(findersOf({kind: 'idempotent'}, runs), []);
 });
 
-test('a refusal of what has run is found', t => {
-  // The caller comes back, as it was told, and books a second time.
+test('a refusal of a request that has run is found', t => {
+  // The caller would retry, as the refusal allows, and book a second time.
   t.deepEqual(findersOf({outcome: REFUSED}), ['true_refusal']);
   t.deepEqual(findersOf({outcome: REFUSED}, [makeRun({hasRun: false})]), []);
 });
 
-test('answers that are cut, foreign or made up are found', t => {
+test('answers that are truncated, of other requests or of no endpoint are found', t => {
   const changes = [
     {bodyDigest: 'half'},
     {signature: undefined},
     {signature: 'of another'},
-    {answersRequest: 'r2'},
+    {answeredRequestId: 'r2'},
     {status: 201},
   ];
   for (const change of changes) {
@@ -79,7 +79,7 @@
   }
 });
 
-test('requests that changed on their way are found', t => {
+test('requests that arrive changed or that no caller sent are found', t => {
   const changes = [
     {path: '/book/2'},
     {bodyDigest: 'other'},
@@ -96,20 +96,20 @@
   }
 });
 
-test('a caller that is left without an answer is found, unless cut off', t => {
+test('a caller without an answer is found, unless its instance was disturbed', t => {
   const unanswered = {outcome: {kind: 'unanswered'}} as const;
   t.deepEqual(findersOf(unanswered), ['answer_in_time']);
   const cut = (history: History) => {
-    history.disturb(INSTANCE, 'store_way_cut', 9000);
+    history.recordDisturbance(INSTANCE, 'store_way_cut', 9000);
   };
   t.deepEqual(findersOf(unanswered, [makeRun()], cut), []);
 });
 
-test('a caller whose connection went silent long ago is not held for left alone', t => {
-  // It opened the connection ahead of need and sends its first request seconds
-  // after all that were open had gone silent; the instance gets nothing.
+test('a missing answer on a connection that went silent earlier is no finding', t => {
+  // Guards against a false finding: a caller sends its first request over a
+  // connection that went silent seconds before, so the instance gets nothing.
   const goSilent = (history: History) => {
-    history.disturb(INSTANCE, 'callers_way_silent', 2000).toMs = 2500;
+    history.recordDisturbance(INSTANCE, 'callers_way_silent', 2000).toMs = 2500;
   };
   const unanswered = {outcome: {kind: 'unanswered'}} as const;
   const early = {...unanswered, connectedAtMs: 1500};
@@ -118,7 +118,7 @@
   t.deepEqual(findersOf(later, [makeRun()], goSilent), ['answer_in_time']);
 });
 
-test('a proper request that is denied is found', t => {
+test('a valid request that is denied is found', t => {
   const outcome = {...REFUSED, status: 401};
   t.deepEqual(findersOf({outcome}, []), ['no_false_denial']);
   const withdraw = (history: History) => {
@@ -140,7 +140,7 @@
 });
 
 test('further attempts beyond their budget are found', t => {
-  // Each of 60 requests goes to an endpoint a second time, which fails it too.
+  // Each of 60 requests is sent to an endpoint a second time.
   const names = Array.from({length: 60}, (_, index) => `r${index}`);
   const requests = names.map(requestId =>
     makeRequest({
@@ -156,7 +156,7 @@
   t.deepEqual(findersIn(makeHistory(requests, runs)), ['retry_budget']);
 });
 
-test('work that is begun for a caller that has left is found', t => {
+test('work that starts after its caller hung up is found', t => {
   const left = {outcome: {kind: 'left'}, endedAtMs: 10_100} as const;
   t.deepEqual(findersOf(left, [makeRun({arrivedAtMs: 10_300})]), []);
   t.deepEqual(
@@ -165,7 +165,7 @@
   );
 });
 
-test('a withdrawn key that still works is found where it had to be known', t => {
+test('a request that runs too long after its key was withdrawn is found', t => {
   const withdrawn = (atMs: number) => (history: History) => {
     history.keyWithdrawals.set('key-1', atMs);
   };
@@ -173,7 +173,7 @@
   t.deepEqual(findersOf({}, [makeRun()], withdrawn(9000)), []);
 });
 
-test('an endpoint that gets work long after its notice is found', t => {
+test('a request to an endpoint long after its leaving notice is found', t => {
   const noticed = (atMs: number) => (history: History) => {
     history.leavingNotices.set('booking-0.1', atMs);
   };
@@ -184,7 +184,7 @@
 test('a request that reaches an evacuated data centre is found', t => {
   const evacuated = (fromMs: number, toMs: number) => (history: History) => {
     const dataCentre = brandAs<DataCentreId>('akl-b');
-    history.endpointPlaces.set('booking-0.1', dataCentre);
+    history.endpointDataCentres.set('booking-0.1', dataCentre);
     history.evacuations.push({dataCentre, fromMs, toMs});
   };
   const found = ['evacuated_data_centres'];
@@ -216,7 +216,7 @@
   t.is(findersOfLimit(9000, 20_000), 0);
 });
 
-test('a configuration that comes late or goes back is found', t => {
+test('a configuration that comes late or is rolled back is found', t => {
   const unknown = {marker: 3, outcome: {...REFUSED, status: 404}};
   const added = (atMs: number) => (history: History) => {
     history.markers.set(3, atMs);
@@ -231,7 +231,7 @@
   t.true(findersIn(history).includes('rising_configuration'));
 });
 
-test('two figures for one window are found', t => {
+test('two different figures for one usage window are found', t => {
   const call = {subject: 'usage', holder: INSTANCE, token: 1, atMs: 20_000};
   const history = makeHistory([], []);
   const report = {window: 5, figure: '[1]'};
@@ -241,7 +241,7 @@
   t.deepEqual(findersIn(history), ['one_figure']);
 });
 
-test('holders that act by turns or under an old token are found', t => {
+test('holders that alternate, share a token or use an old one are found', t => {
   const acts = (...calls: Array<[string, number, number]>) => {
     const history = makeHistory([], []);
     for (const [holder, token, atMs] of calls) {
@@ -257,25 +257,25 @@
   ]);
 });
 
-test('a request that a planned stop loses is found, one cut by a kill is not', t => {
+test('a request lost in a planned stop is found, one lost in a kill is not', t => {
   const broken = {outcome: {kind: 'broken'}, endedAtMs: 11_000} as const;
   const stopped = (kind: string) => (history: History) => {
-    history.disturb(INSTANCE, kind, 10_500);
+    history.recordDisturbance(INSTANCE, kind, 10_500);
   };
   t.deepEqual(findersOf(broken, [makeRun()], stopped('terminated')), [
     'nothing_lost',
   ]);
   t.deepEqual(findersOf(broken, [makeRun()], stopped('killed')), []);
   t.deepEqual(findersOf(broken, [], stopped('terminated')), ['nothing_lost']);
-  const crossed = {...broken, endedAtMs: 10_100};
-  t.deepEqual(findersOf(crossed, [], stopped('terminated')), []);
+  const lostOnClosing = {...broken, endedAtMs: 10_100};
+  t.deepEqual(findersOf(lostOnClosing, [], stopped('terminated')), []);
 });
 
-test('a request that is taken late in the grace time and cut off is found', t => {
-  // An instance that was told to stop has seconds of work left and takes on more.
+test('a request accepted late in the grace time and cut off is found', t => {
+  // Guards against a stopping instance that accepts requests it can not finish.
   const broken = {outcome: {kind: 'broken'}, endedAtMs: 11_000} as const;
   const stoppedAt = (atMs: number) => (history: History) => {
-    history.disturb(INSTANCE, 'terminated', atMs);
+    history.recordDisturbance(INSTANCE, 'terminated', atMs);
   };
   const late = {...broken, endedAtMs: 10_500};
   t.deepEqual(findersOf(late, [makeRun()], stoppedAt(3000)), ['nothing_lost']);
@@ -283,25 +283,25 @@
   t.deepEqual(findersOf(early, [makeRun()], stoppedAt(8000)), []);
 });
 
-test('a request that was cut off is told with its stop and its connection', t => {
-  // A caller loses its answer: either the instance still took its connection
-  // seconds after it had been told to stop, or it took the request over one that
-  // had been open before. These are two faults.
+test('a finding gives the times since the stop of a request and its connection', t => {
+  // Two faults lose an answer and must be told apart: the instance accepts the
+  // connection seconds after it was told to stop, or it accepts the request
+  // over a connection that was open before.
   const request = makeRequest({
     outcome: {kind: 'broken'},
     endedAtMs: 10_500,
     connectedAtMs: 9000,
   });
   const history = makeHistory([request], [makeRun()]);
-  history.disturb(INSTANCE, 'terminated', 3000);
-  const [{what}] = checkAll(history);
-  t.regex(what, /sent 7000 ms after a stop, connected 6000 ms after it/);
+  history.recordDisturbance(INSTANCE, 'terminated', 3000);
+  const [{message}] = checkAll(history);
+  t.regex(message, /sent 7000 ms after a stop, connected 6000 ms after it/);
 });
 
 test('processes that end by themselves, late or with an error are found', t => {
   const end = {
     instance: INSTANCE,
-    life: 1,
+    processNumber: 1,
     cause: 'terminated',
     code: 0,
     signal: null,
@@ -335,6 +335,6 @@
     [makeRequest({sentAtMs: 30_000, outcome: {kind: 'not_connected'}})],
     [],
   );
-  history.quietFromMs = 20_000;
+  history.faultsEndedAtMs = 20_000;
   t.deepEqual(findersIn(history), ['serves_again']);
 });
--- a/packages/soak/src/checks/duties.ts
+++ b/packages/soak/src/checks/duties.ts
@@ -1,11 +1,11 @@
-/** What one instance does for all is done by one at a time. */
+/** Duties that one instance performs for all have one holder at a time. */
 
 import type {DutyCall} from '@snipestage/platform_stand_ins/provider_stand_in.js';
 import {brandAs, type InstanceId} from '@snipestage/types/ids.js';
 import type {History} from '../history.js';
 import {Check, type Finding} from './check.js';
 
-/** A window of usage never has two figures. */
+/** A usage window is never reported with two different figures. */
 export class OneFigure extends Check {
   readonly name = 'one_figure';
 
@@ -16,16 +16,16 @@
       const known = figures.get(report.window);
       figures.set(report.window, known ?? report.figure);
       const isOther = known !== undefined && known !== report.figure;
-      const what = `window ${report.window} again by ${holder}`;
-      return isOther ? [this.found(what, atMs)] : [];
+      const message = `window ${report.window} again by ${holder}`;
+      return isOther ? [this.found(message, atMs)] : [];
     });
   }
 }
 
-/** What left before its sender was stopped may arrive after it has gone on. */
-const THAW_MS = 300;
+/** A call sent before its sender was frozen may arrive after it was thawed. */
+const IN_FLIGHT_CALL_MS = 300;
 
-/** Holders neither overlap nor act by turns within a lease. */
+/** Holders neither overlap nor alternate within the time of a lease. */
 export class OneHolder extends Check {
   readonly name = 'one_holder';
 
@@ -40,20 +40,24 @@
     }
     return [...bySubject.values()].flatMap(calls => [
       ...this.findFallingTokens(calls),
-      ...this.findTurns(calls, history.bounds.leaseMs),
+      ...this.findAlternations(calls, history.bounds.leaseMs),
     ]);
   }
 
   private counts(history: History, {holder, atMs}: DutyCall): boolean {
     const {contactMs} = history.bounds;
     const sender = brandAs<InstanceId>(holder);
-    const isSenderCalm = history.isCalm([sender], atMs - THAW_MS, atMs);
-    const isPlatformCalm = history.isCalm(
+    const isSenderUndisturbed = history.isUndisturbed(
+      [sender],
+      atMs - IN_FLIGHT_CALL_MS,
+      atMs,
+    );
+    const isPlatformUndisturbed = history.isUndisturbed(
       ['store', 'provider'],
       atMs - contactMs,
       atMs,
     );
-    return isSenderCalm && isPlatformCalm;
+    return isSenderUndisturbed && isPlatformUndisturbed;
   }
 
   private findFallingTokens(calls: readonly DutyCall[]): Finding[] {
@@ -65,22 +69,25 @@
       const before = `${highest.token} of ${highest.holder}`;
       if (call.token > highest.token) highest = call;
       if (!isLower && !isShared) return [];
-      const what = `${call.subject}: ${call.token} of ${call.holder} after ${before}`;
-      return [this.found(what, call.atMs)];
+      const message = `${call.subject}: ${call.token} of ${call.holder} after ${before}`;
+      return [this.found(message, call.atMs)];
     });
   }
 
-  /** One, another and the first again. */
-  private findTurns(calls: readonly DutyCall[], leaseMs: number): Finding[] {
-    const turns = calls.filter(
+  /** Finds a holder that acts again within a lease, after another one. */
+  private findAlternations(
+    calls: readonly DutyCall[],
+    leaseMs: number,
+  ): Finding[] {
+    const holderChanges = calls.filter(
       ({holder}, index) => holder !== calls[index - 1]?.holder,
     );
-    return turns.flatMap((call, index) => {
-      const first = turns[index - 2];
-      const isTurn =
+    return holderChanges.flatMap((call, index) => {
+      const first = holderChanges[index - 2];
+      const isAlternation =
         first?.holder === call.holder && call.atMs - first.atMs < leaseMs;
-      const what = `${call.subject}: ${call.holder} again`;
-      return isTurn ? [this.found(what, call.atMs)] : [];
+      const message = `${call.subject}: ${call.holder} again`;
+      return isAlternation ? [this.found(message, call.atMs)] : [];
     });
   }
 }
--- a/packages/soak/src/checks/limits.ts
+++ b/packages/soak/src/checks/limits.ts
@@ -1,4 +1,4 @@
-/** Bounds on further attempts, on time handed on and on work for nobody. */
+/** Bounds on attempts, on times passed to endpoints and on abandoned work. */
 
 import type {History, SentRequest} from '../history.js';
 import {Check, type Finding} from './check.js';
@@ -16,23 +16,23 @@
   }
 }
 
-const TIME_SLACK_MS = 500;
+const TIME_LEFT_SLACK_MS = 500;
 
-/** Endpoints are told of no more time than the caller has left. */
+/** Endpoints receive a time left, of no more than the caller has left. */
 export class TimeHandedOn extends Check {
   readonly name = 'time_handed_on';
 
   find(history: History): readonly Finding[] {
     return history.requests.flatMap(request => {
       const endsAtMs =
-        request.sentAtMs + request.callerTimeoutMs + TIME_SLACK_MS;
+        request.sentAtMs + request.callerTimeoutMs + TIME_LEFT_SLACK_MS;
       const wrong = history
         .arrivalsOf(request.requestId)
         .filter(
           ({timeLeftMs, arrivedAtMs}) =>
             timeLeftMs === undefined || arrivedAtMs + timeLeftMs > endsAtMs,
         );
-      const isFair = history.isInTouch(
+      const isFair = history.hadStoreContact(
         request.instance,
         request.sentAtMs,
         endsAtMs,
@@ -45,9 +45,9 @@
 
 const RETRY_RATIO = 0.2;
 const RETRY_WINDOW_MS = 10_000;
-const RETRY_SLACK = 30;
+const RETRY_SLACK_COUNT = 30;
 
-/** Further attempts of all instances keep to their budget. */
+/** Further attempts of all instances together stay within the retry budget. */
 export class RetryBudget extends Check {
   readonly name = 'retry_budget';
 
@@ -64,16 +64,18 @@
     for (const fromMs of repeats) {
       const toMs = fromMs + RETRY_WINDOW_MS;
       const extra = countWithin(repeats, fromMs, toMs);
-      const sent = mostSent(history, fromMs);
-      if (extra <= RETRY_RATIO * sent + RETRY_SLACK) continue;
+      const sent = maxSentCount(history, fromMs);
+      if (extra <= RETRY_RATIO * sent + RETRY_SLACK_COUNT) continue;
       return [this.found(`${extra} further attempts for ${sent}`, fromMs)];
     }
     return [];
   }
 }
 
-/** Requests of the window, the one before or the one half a window before. */
-function mostSent({requests}: History, fromMs: number): number {
+/**
+ * Most requests sent in the window, the one before or the one half before it.
+ */
+function maxSentCount({requests}: History, fromMs: number): number {
   const times = requests.map(({sentAtMs}) => sentAtMs);
   const starts = [0, RETRY_WINDOW_MS / 2, RETRY_WINDOW_MS];
   const counts = starts.map(earlierMs =>
@@ -86,9 +88,9 @@
   return Math.max(...counts);
 }
 
-const GONE_AFTER_MS = 500;
+const HANG_UP_SLACK_MS = 500;
 
-/** Nothing is begun for a caller that has hung up. */
+/** No attempt starts for a caller that has hung up. */
 export class NothingForNobody extends Check {
   readonly name = 'nothing_for_nobody';
 
@@ -107,13 +109,13 @@
       .arrivalsOf(request.requestId)
       .some(
         ({arrivedAtMs}) =>
-          arrivedAtMs > leftAtMs + GONE_AFTER_MS &&
-          history.isInTouch(request.instance, leftAtMs, arrivedAtMs),
+          arrivedAtMs > leftAtMs + HANG_UP_SLACK_MS &&
+          history.hadStoreContact(request.instance, leftAtMs, arrivedAtMs),
       );
   }
 }
 
-/** Moments in a half-open span. */
+/** Number of times from `fromMs` up to, but not including, `toMs`. */
 export function countWithin(
   times: readonly number[],
   fromMs: number,
--- a/packages/soak/src/checks/stops.ts
+++ b/packages/soak/src/checks/stops.ts
@@ -1,4 +1,6 @@
-/** Planned stops lose nothing; no process ends by itself; service comes back. */
+/**
+ * Planned stops lose no request, no process ends by itself, service recovers.
+ */
 
 import {brandAs, type EndpointId} from '@snipestage/types/ids.js';
 import type {History, ProcessEnd, SentRequest} from '../history.js';
@@ -6,15 +8,15 @@
 
 const TERMINATED = 'terminated';
 const RELOAD_SIGNAL = 'SIGHUP';
-/** A part of the grace time in which what still runs may be cut off. */
-const LAST_SHARE_OF_GRACE = 1 / 6;
-/** Provided that it was sent when nobody could have noticed the stop. */
-const SENT_WITHIN_MS = 3000;
+/** In this last share of the grace time requests in flight may be cut off. */
+const GRACE_CUT_OFF_SHARE = 1 / 6;
+/** Provided that they were sent before the stop could have been noticed. */
+const STOP_UNNOTICED_MS = 3000;
 
 /**
- * A request that was read has its answer, also around a planned stop. A
- * connection that closes just as a request arrives may be lost as long as the
- * request went nowhere.
+ * A request that an instance has read gets an answer, also around a planned
+ * stop. A request that arrives just as its connection closes may be lost, as
+ * long as it was not passed on.
  */
 export class NothingLost extends Check {
   readonly name = 'nothing_lost';
@@ -25,9 +27,11 @@
       const {instance, sentAtMs, endedAtMs = Infinity} = request;
       const fromMs = sentAtMs - history.bounds.contactMs;
       const subjects = [instance, 'store'] as const;
-      const isFair = history.isCalm(subjects, fromMs, endedAtMs, [TERMINATED]);
+      const isFair = history.isUndisturbed(subjects, fromMs, endedAtMs, [
+        TERMINATED,
+      ]);
       if (!isFair || this.wasCutByGrace(history, request)) return [];
-      const fault = this.faultOf(history, request);
+      const fault = this.describeFault(history, request);
       if (fault === undefined) return [];
       return [
         this.foundFor(request, `${fault}${describeStop(history, request)}`),
@@ -35,25 +39,30 @@
     });
   }
 
-  private faultOf(history: History, request: SentRequest): string | undefined {
+  private describeFault(
+    history: History,
+    request: SentRequest,
+  ): string | undefined {
     const {requestId, lastByteAtMs, endedAtMs = Infinity} = request;
     const arrivals = history.arrivalsOf(requestId);
     const endpoints = arrivals.map(({endpoint}) =>
       brandAs<EndpointId>(endpoint),
     );
     const {contactMs, lossSlackMs} = history.bounds;
-    const areSound = history.isCalm(
+    const areEndpointsUndisturbed = history.isUndisturbed(
       endpoints,
       request.sentAtMs - contactMs,
       endedAtMs,
     );
     if (arrivals.length > 0) {
-      return areSound ? 'passed on and closed without an answer' : undefined;
+      return areEndpointsUndisturbed
+        ? 'passed on and closed without an answer'
+        : undefined;
     }
     if (lastByteAtMs === undefined) return undefined;
-    const keptMs = endedAtMs - lastByteAtMs;
-    return keptMs > lossSlackMs
-      ? `kept for ${Math.round(keptMs)} ms`
+    const heldMs = endedAtMs - lastByteAtMs;
+    return heldMs > lossSlackMs
+      ? `closed without an answer after ${Math.round(heldMs)} ms`
       : undefined;
   }
 
@@ -64,13 +73,13 @@
       ({subject, kind, fromMs}) =>
         subject === instance &&
         kind === TERMINATED &&
-        sentAtMs <= fromMs + SENT_WITHIN_MS &&
-        endedAtMs > fromMs + graceMs * (1 - LAST_SHARE_OF_GRACE),
+        sentAtMs <= fromMs + STOP_UNNOTICED_MS &&
+        endedAtMs > fromMs + graceMs * (1 - GRACE_CUT_OFF_SHARE),
     );
   }
 }
 
-/** Tells a new connection to an instance that stops from an old one. */
+/** Times since the stop, which tell new connections from earlier ones. */
 function describeStop(history: History, request: SentRequest): string {
   const {instance, sentAtMs, connectedAtMs} = request;
   const stop = history.disturbances.findLast(
@@ -83,7 +92,7 @@
   return `, sent ${sentMs} ms after a stop, connected ${connectedMs} ms after it`;
 }
 
-/** Processes end when they are told to, in time, and never by themselves. */
+/** Processes end only when told to, in time and without an error. */
 export class ProperEnds extends Check {
   readonly name = 'proper_ends';
 
@@ -93,20 +102,20 @@
       if (cause === 'killed' || this.wasStillStarting(end)) return [];
       if (cause === undefined) {
         const how = signal ?? code;
-        const what = `${instance} ended by itself (${how}): ${lastError}`;
-        return [this.found(what, atMs)];
+        const message = `${instance} ended by itself (${how}): ${lastError}`;
+        return [this.found(message, atMs)];
       }
       const isInTime = tookMs <= history.bounds.graceMs;
       if (code === 0 && isInTime) return [];
-      const what = `${instance} ended with ${code} after ${Math.round(tookMs)} ms`;
-      return [this.found(what, atMs)];
+      const message = `${instance} ended with ${code} after ${Math.round(tookMs)} ms`;
+      return [this.found(message, atMs)];
     });
   }
 
   /**
-   * A signal that comes before a process runs its first line ends it as the
-   * system does by default, one that asks it to reload as well. It has taken
-   * nothing by then.
+   * A signal that arrives before a process runs its first line has the system's
+   * default effect: it ends the process, and so does the signal to reload. The
+   * process has accepted no requests by then.
    */
   private wasStillStarting(end: ProcessEnd): boolean {
     const {cause, code, signal, wasReady} = end;
@@ -115,15 +124,15 @@
   }
 }
 
-const SETTLED_AFTER_MS = 6000;
-const SERVED_SHARE = 0.9;
+const RECOVERY_MS = 6000;
+const MIN_SERVED_SHARE = 0.9;
 
-/** Once nothing is disturbed any more, requests are served again. */
+/** Requests are served again some time after the last fault. */
 export class ServesAgain extends Check {
   readonly name = 'serves_again';
 
   find(history: History): readonly Finding[] {
-    const fromMs = history.quietFromMs + SETTLED_AFTER_MS;
+    const fromMs = history.faultsEndedAtMs + RECOVERY_MS;
     const late = history.requests.filter(
       ({sentAtMs, key, marker, outcome}) =>
         sentAtMs >= fromMs &&
@@ -135,8 +144,8 @@
       ({outcome}) => outcome?.kind === 'answered' && outcome.status === 200,
     );
     if (late.length === 0) return [];
-    if (served.length >= SERVED_SHARE * late.length) return [];
-    const what = `${served.length} of ${late.length} at the end`;
-    return [this.found(what, fromMs)];
+    if (served.length >= MIN_SERVED_SHARE * late.length) return [];
+    const message = `${served.length} of ${late.length} served at the end`;
+    return [this.found(message, fromMs)];
   }
 }
--- a/packages/soak/src/evacuations.test.ts
+++ b/packages/soak/src/evacuations.test.ts
@@ -8,7 +8,7 @@
   t.true(faults.length > 3);
   faults.slice(1).forEach((fault, index) => {
     const before = faults[index];
-    t.true(fault.atMs > before.atMs + before.forMs);
+    t.true(fault.atMs > before.atMs + before.durationMs);
   });
 });
 
--- a/packages/soak/src/evacuations.ts
+++ b/packages/soak/src/evacuations.ts
@@ -1,18 +1,19 @@
-/** When operators evacuate a data centre. */
+/** Draws when the operator evacuates a data centre. */
 
-import {drawInTurn} from './drawn_in_turn.js';
+import {drawSequentialFaults} from './sequential_faults.js';
 import {EVACUATE, type PlannedFault} from './fault_plan.js';
 
-/** What the evacuations are drawn from. */
+/** Options of {@link drawEvacuations}. */
 export interface EvacuationsOptions {
   readonly seed: number;
-  /** Evacuations begin within this time. */
+  /** Evacuations start within this time. */
   readonly forMs: number;
   readonly dataCentres: number;
 }
 
 /**
- * One data centre after the other; with a single one there is nowhere to go.
+ * Draws evacuations of one data centre after another. A single data centre is
+ * never evacuated, since there is no other to take its requests.
  *
  * @example
  * const faults = drawEvacuations({seed: 7, forMs: 20_000, dataCentres: 3});
@@ -20,13 +21,13 @@
 export function drawEvacuations(options: EvacuationsOptions): PlannedFault[] {
   const {seed, forMs, dataCentres} = options;
   if (dataCentres < 2) return [];
-  return drawInTurn({
+  return drawSequentialFaults({
     kind: EVACUATE,
     seed,
     forMs,
-    targets: dataCentres,
+    targetCount: dataCentres,
     firstAtMs: 2000,
-    lastsMs: [3000, 6000],
-    pauseMs: [500, 8000],
+    durationRangeMs: [3000, 6000],
+    intervalRangeMs: [500, 8000],
   });
 }
--- a/packages/soak/src/fault_plan.test.ts
+++ b/packages/soak/src/fault_plan.test.ts
@@ -12,13 +12,13 @@
   const overlaps = plan.some((fault, index) => {
     const next = plan[index + 1];
     const isOther = next !== undefined && next.kind !== fault.kind;
-    return isOther && next.atMs < fault.atMs + fault.forMs;
+    return isOther && next.atMs < fault.atMs + fault.durationMs;
   });
   t.true(overlaps);
   t.true(plan.every(({atMs}) => atMs < 60_000));
 });
 
-test('in the long run every kind comes', t => {
+test('a long plan contains every kind of fault', t => {
   const plan = drawFaultPlan({seed: 3, forMs: 3_000_000});
   const kinds = new Set(plan.map(({kind}) => kind));
   t.is(kinds.size, FAULT_KINDS.length);
--- a/packages/soak/src/fault_plan.ts
+++ b/packages/soak/src/fault_plan.ts
@@ -1,4 +1,4 @@
-/** Which faults come when: drawn from a seed, the same at every run. */
+/** Draws a schedule of faults from a seed; a seed always gives the same one. */
 
 import {
   randomExponential,
@@ -7,23 +7,23 @@
   randomUniform,
 } from 'd3-random';
 
-/** What can be done to the world. */
+/** Kinds of faults that {@link drawFaultPlan} draws, by what they affect. */
 export const FAULT_KINDS = [
-  // To the process of an instance.
+  // Process of an instance.
   'instance_kill',
   'instance_freeze',
   'instance_terminate',
   'instance_reload',
   'instance_clock_jump',
-  // To the way between an instance and the store.
+  // Connections between an instance and the store.
   'store_way_silent',
   'store_way_cut',
   'store_way_one_way',
   'store_way_slow',
-  // To the way between callers and an instance.
+  // Connections between callers and an instance.
   'callers_way_cut',
   'callers_way_silent',
-  // To an endpoint.
+  // Endpoint, and the connections to it.
   'endpoint_failing',
   'endpoint_silent',
   'endpoint_resetting',
@@ -34,7 +34,7 @@
   'endpoint_replace',
   'endpoint_way_silent',
   'endpoint_way_one_way',
-  // To the store and the provider.
+  // Store and provider.
   'store_silent',
   'store_busy',
   'store_too_many',
@@ -45,12 +45,15 @@
   'store_history_gone',
   'provider_silent',
   'provider_busy',
-  // Changes by the operator.
+  // Changes by the operator; these are not disturbances.
   'add_marker',
   'withdraw_key',
 ] as const;
 
-/** Drawn beside the others, so that these stay the same for a seed. */
+/**
+ * Drawn separately, so that the plan of the other kinds stays as it is for a
+ * seed.
+ */
 export const EVACUATE = 'evacuate';
 /** An endpoint announces a rate limit in its answers. */
 export const RATE_LIMIT = 'rate_limit';
@@ -58,38 +61,41 @@
 export type FaultKind =
   (typeof FAULT_KINDS)[number] | typeof EVACUATE | typeof RATE_LIMIT;
 
-/** One fault. */
+/** One fault of a plan. */
 export interface PlannedFault {
   readonly kind: FaultKind;
-  /** From the start of the traffic. */
+  /** Time from the start of the traffic. */
   readonly atMs: number;
-  readonly forMs: number;
-  /** Picks the target among those that there are: its index modulo their count. */
+  readonly durationMs: number;
+  /**
+   * The target is the candidate with this index modulo their number. The size
+   * of a clock jump is derived from it as well.
+   */
   readonly target: number;
 }
 
-/** What a plan is drawn from. */
+/** Options of {@link drawFaultPlan}. */
 export interface FaultPlanOptions {
   readonly seed: number;
-  /** Faults begin within this time. */
+  /** Faults start within this time. */
   readonly forMs: number;
-  /** Mean time between the starts of two series (1,800 ms). */
+  /** Mean time between the starts of two series, in ms (1,800). */
   readonly seriesEveryMs?: number;
-  /** Kinds that may come (all). */
+  /** Kinds to draw from ({@link FAULT_KINDS}). */
   readonly kinds?: readonly FaultKind[];
 }
 
 const DEFAULT_SERIES_EVERY_MS = 1800;
-/** The traffic runs for a moment before anything is disturbed. */
-const FIRST_AT_MS = 500;
+/** Until then the traffic runs undisturbed. */
+const FIRST_SERIES_AT_MS = 500;
 const MAX_SERIES_LENGTH = 4;
 const MEAN_GAP_MS = 700;
-const SHORTEST_MS = 200;
-const LONGEST_MS = 5000;
-const TARGETS = 1000;
+const MIN_FAULT_DURATION_MS = 200;
+const MAX_FAULT_DURATION_MS = 5000;
+const TARGET_INDEX_COUNT = 1000;
 
 /**
- * Faults come in series of one kind; series overlap.
+ * Draws faults in series of one kind each; series may overlap.
  *
  * @example
  * const plan = drawFaultPlan({seed: 7, forMs: 20_000});
@@ -103,17 +109,24 @@
   const nextGapMs = randomExponential.source(source)(1 / MEAN_GAP_MS);
   const drawKind = randomInt.source(source)(kinds.length);
   const drawLength = randomInt.source(source)(1, MAX_SERIES_LENGTH + 1);
-  const drawForMs = randomUniform.source(source)(SHORTEST_MS, LONGEST_MS);
-  const drawTarget = randomInt.source(source)(TARGETS);
+  const drawDurationMs = randomUniform.source(source)(
+    MIN_FAULT_DURATION_MS,
+    MAX_FAULT_DURATION_MS,
+  );
+  const drawTarget = randomInt.source(source)(TARGET_INDEX_COUNT);
   const faults: PlannedFault[] = [];
-  for (let startMs = FIRST_AT_MS; startMs < forMs; startMs += nextSeriesMs()) {
+  for (
+    let startMs = FIRST_SERIES_AT_MS;
+    startMs < forMs;
+    startMs += nextSeriesMs()
+  ) {
     const kind = kinds[drawKind()];
     let atMs = startMs;
     for (let left = drawLength(); left > 0 && atMs < forMs; left -= 1) {
       faults.push({
         kind,
         atMs: Math.round(atMs),
-        forMs: Math.round(drawForMs()),
+        durationMs: Math.round(drawDurationMs()),
         target: drawTarget(),
       });
       atMs += nextGapMs();
--- a/packages/soak/src/history.ts
+++ b/packages/soak/src/history.ts
@@ -1,4 +1,7 @@
-/** All that callers, endpoints and the operator saw during a run. */
+/**
+ * Record of what callers, endpoints, the provider and the operator saw in a
+ * run.
+ */
 
 import type {RouteKind} from '@snipestage/routing/route.js';
 import type {
@@ -11,16 +14,16 @@
 import type {DutyCall} from '@snipestage/platform_stand_ins/provider_stand_in.js';
 import type {Bounds} from '@snipestage/platform_stand_ins/settings_text.js';
 
-/** What may be disturbed. */
+/** What a disturbance affects. */
 export type Subject =
   | InstanceId
   | EndpointId
   | 'store'
   | 'provider'
-  /** The machine that runs all of it: nobody is bound while it stands still. */
+  /** The machine that runs the soak: no time bound applies while it stalls. */
   | 'machine';
 
-/** Something was done to a part of the world from outside. */
+/** A fault or another disturbance of a part of the system from outside. */
 export interface Disturbance {
   readonly subject: Subject;
   readonly kind: string;
@@ -35,25 +38,25 @@
       readonly kind: 'answered';
       readonly status: number;
       readonly signature: string | undefined;
-      /** The request that the answer says it belongs to. */
-      readonly answersRequest: string | undefined;
+      /** Id of the request that the answer names. */
+      readonly answeredRequestId: string | undefined;
       readonly bodyDigest: string;
     }
-  /** No connection was had: nothing was sent. */
+  /** No connection could be opened, or it failed before all was sent. */
   | {readonly kind: 'not_connected'}
-  /** The connection ended before the answer's end. */
+  /** The connection failed after all was sent, before the end of the answer. */
   | {readonly kind: 'broken'}
-  /** The caller went away of its own will. */
+  /** The caller hung up deliberately. */
   | {readonly kind: 'left'}
-  /** The caller waited well past its time and gave up. */
+  /** The caller gave up, well past its timeout. */
   | {readonly kind: 'unanswered'};
 
 /** One request of a caller. */
 export interface SentRequest {
   readonly requestId: string;
   readonly instance: InstanceId;
-  /** Of the instance's processes, counted from 1. */
-  readonly life: number;
+  /** Number of the instance's process, counted from 1. */
+  readonly processNumber: number;
   readonly kind: RouteKind;
   readonly isResumable: boolean;
   readonly maxAttempts: number;
@@ -61,98 +64,102 @@
   readonly bodyDigest: string;
   readonly key: string;
   readonly clientAccount: ClientAccountId;
-  /** The configuration's marker that it asks for, if it does. */
+  /** The configuration's marker whose route it uses, if any. */
   readonly marker: number | undefined;
   readonly callerTimeoutMs: number;
   readonly sentAtMs: number;
-  /** When the connection was opened over which it was sent. */
+  /** When the connection that carried it was opened. */
   connectedAtMs?: number;
-  /** When its last byte had been handed to the system. */
+  /** When its last byte had been handed to the operating system. */
   lastByteAtMs?: number;
   endedAtMs?: number;
   outcome?: Outcome;
 }
 
-/** An instance's process ended. */
+/** The end of an instance's process. */
 export interface ProcessEnd {
   readonly instance: InstanceId;
-  readonly life: number;
-  /** Undefined when nobody had ended it. */
+  readonly processNumber: number;
+  /** Undefined when the soak did not end it. */
   readonly cause: 'terminated' | 'killed' | undefined;
   readonly code: number | null;
-  /** Which signal ended it, if one did. */
+  /** The signal that ended it, if any. */
   readonly signal: NodeJS.Signals | null;
-  /** It had said that it was ready, and may have had requests. */
+  /** It had reported that it was ready, and may have received requests. */
   readonly wasReady: boolean;
-  /** From the signal to the end. */
+  /** From the signal of the soak to the end; 0 without one. */
   readonly tookMs: number;
   readonly atMs: number;
   readonly lastError: string;
 }
 
-/** A data centre was to get no requests. */
+/** A period in which a data centre must get no requests. */
 export interface Evacuation {
   readonly dataCentre: DataCentreId;
-  /** When the store had it. */
+  /** When it was in the store. */
   readonly fromMs: number;
   /** Infinite until the data centre is restored. */
   toMs: number;
 }
 
-/** An endpoint announced a rate limit in its answers. */
+/** A rate limit that an endpoint announced in its answers. */
 export interface AnnouncedRateLimit {
   readonly endpoint: EndpointId;
-  /** From all instances together. */
+  /** Requests a second from all instances together. */
   readonly rateLimitPerS: number;
   readonly fromMs: number;
   /** Infinite until it is lifted. */
   toMs: number;
 }
 
-/** Times are of one steady clock. */
+/** Record of one run; all times are of one monotonic clock. */
 export class History {
   readonly requests: SentRequest[] = [];
   readonly runs: Run[] = [];
   readonly disturbances: Disturbance[] = [];
   readonly keyWithdrawals = new Map<string, number>();
-  /** When the store had a configuration with the marker. */
+  /** When a configuration with the marker was in the store. */
   readonly markers = new Map<number, number>();
-  /** When the store had an endpoint's notice that it leaves. */
+  /** When an endpoint's notice that it leaves was in the store, by endpoint. */
   readonly leavingNotices = new Map<string, number>();
   readonly evacuations: Evacuation[] = [];
   readonly rateLimits: AnnouncedRateLimit[] = [];
-  /** Of every life of an endpoint. */
-  readonly endpointPlaces = new Map<string, DataCentreId>();
+  /** Data centre of every generation of an endpoint, by its id. */
+  readonly endpointDataCentres = new Map<string, DataCentreId>();
   readonly dutyCalls: DutyCall[] = [];
   readonly ends: ProcessEnd[] = [];
-  /** From here on nothing is disturbed any more. */
-  quietFromMs = Number.POSITIVE_INFINITY;
-  private readonly runsById = new Map<string, Run[]>();
+  /** No fault is applied after this time; infinite until the last has ended. */
+  faultsEndedAtMs = Number.POSITIVE_INFINITY;
+  private readonly runsByRequestId = new Map<string, Run[]>();
 
   constructor(readonly bounds: Bounds) {}
 
-  /** Adds what endpoints saw. */
+  /** Adds requests that reached endpoints. */
   addRuns(runs: readonly Run[]): void {
     for (const run of runs) {
       this.runs.push(run);
-      const known = this.runsById.get(run.requestId);
-      if (known === undefined) this.runsById.set(run.requestId, [run]);
+      const known = this.runsByRequestId.get(run.requestId);
+      if (known === undefined) this.runsByRequestId.set(run.requestId, [run]);
       else known.push(run);
     }
   }
 
-  /** What endpoints saw of a request, whether they ran it or not. */
+  /** Arrivals of a request at endpoints, whether they ran it or not. */
   arrivalsOf(requestId: string): readonly Run[] {
-    return this.runsById.get(requestId) ?? [];
+    return this.runsByRequestId.get(requestId) ?? [];
   }
 
-  /** Endpoints' work on a request. */
+  /** Arrivals of a request at endpoints that ran it. */
   runsOf(requestId: string): readonly Run[] {
     return this.arrivalsOf(requestId).filter(({hasRun}) => hasRun);
   }
 
-  /** Notes a disturbance that lasts until its `toMs` is set. */
-  disturb(subject: Subject, kind: string, fromMs: number): Disturbance {
+  /** Records a disturbance that lasts until its `toMs` is set. */
+  recordDisturbance(
+    subject: Subject,
+    kind: string,
+    fromMs: number,
+  ): Disturbance {
     const toMs = Number.POSITIVE_INFINITY;
     const disturbance = {subject, kind, fromMs, toMs};
     this.disturbances.push(disturbance);
@@ -160,12 +167,13 @@
   }
 
   /**
-   * Whether nothing was done to the subjects, but for the kinds named.
+   * Whether no disturbance of the subjects or of the machine overlaps the
+   * period, apart from those of the kinds in `exceptKinds`.
    *
    * @example
-   * history.isCalm([request.instance, 'store'], fromMs, toMs);
+   * history.isUndisturbed([request.instance, 'store'], fromMs, toMs);
    */
-  isCalm(
+  isUndisturbed(
     subjects: readonly Subject[],
     fromMs: number,
     toMs: number,
@@ -180,9 +188,12 @@
     );
   }
 
-  /** Whether an instance had its process and its ways for long enough. */
-  isInTouch(instance: InstanceId, atMs: number, untilMs = atMs): boolean {
+  /**
+   * Whether neither the instance nor the store was disturbed from the contact
+   * bound before `atMs` until `untilMs`.
+   */
+  hadStoreContact(instance: InstanceId, atMs: number, untilMs = atMs): boolean {
     const fromMs = atMs - this.bounds.contactMs;
-    return this.isCalm([instance, 'store'], fromMs, untilMs);
+    return this.isUndisturbed([instance, 'store'], fromMs, untilMs);
   }
 }
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -9,11 +9,11 @@
 
 const PRINTED_FINDINGS = 12;
 const SECOND_MS = 1000;
-/** Mutants show under a few kinds of faults, which come more often. */
+/** Mutants run under a few kinds of faults, which are applied more often. */
 const MUTANT_SERIES_EVERY_MS = 900;
 const ALL = 'all';
 
-/** Prints a run. @returns whether nothing was found. */
+/** Prints the result of a run. @returns whether nothing was found. */
 function report(result: SoakResult): boolean {
   const {seed, findings, history, faults, startedAtMs} = result;
   const served = history.requests.filter(
@@ -25,12 +25,12 @@
       `${history.ends.length} ends of processes, ${faults.length} faults, ` +
       `${history.dutyCalls.length} calls of duties`,
   );
-  for (const {check, what, atMs, requestId} of findings.slice(
+  for (const {check, message, atMs, requestId} of findings.slice(
     0,
     PRINTED_FINDINGS,
   )) {
     const sinceMs = Math.round(atMs - startedAtMs);
-    console.log(`  ${sinceMs} ms ${check}: ${what} ${requestId ?? ''}`);
+    console.log(`  ${sinceMs} ms ${check}: ${message} ${requestId ?? ''}`);
   }
   if (findings.length > 0) {
     for (const line of faults) console.log(`    ${line}`);
@@ -51,7 +51,7 @@
   readonly regressions?: boolean;
 }
 
-/** Runs one mutant. @returns whether the check that is to find it has. */
+/** Runs one mutant. @returns whether its check has found it. */
 async function runMutant(mutant: Mutant, options: Options): Promise<boolean> {
   const {findings} = await runSoak({
     ...sizesOf(options),
@@ -63,14 +63,15 @@
     kinds: mutant.kinds,
     seriesEveryMs: mutant.seriesEveryMs ?? MUTANT_SERIES_EVERY_MS,
   });
-  const {says = /./} = mutant;
+  const {findingPattern = /./} = mutant;
   const own = findings.filter(
-    ({check, what}) => check === mutant.check && says.test(what),
+    ({check, message}) =>
+      check === mutant.check && findingPattern.test(message),
   );
   const verdict = own.length > 0 ? `found ${own.length} times` : 'MISSED';
   console.log(`${mutant.name}: ${verdict} by ${mutant.check}`);
-  for (const {check, what} of [...own, ...findings].slice(0, 2)) {
-    console.log(`  ${check}: ${what}`);
+  for (const {check, message} of [...own, ...findings].slice(0, 2)) {
+    console.log(`  ${check}: ${message}`);
   }
   return own.length > 0;
 }
--- a/packages/soak/src/mutant.ts
+++ b/packages/soak/src/mutant.ts
@@ -1,16 +1,18 @@
-/** A seeded fault of the program, and how the soak finds it. */
+/**
+ * A seeded fault of the program and the conditions under which a soak finds it.
+ */
 
 import type {FaultKind} from './fault_plan.js';
 import type {Mutation} from './world/program.js';
 
-/** A mutation, what has to happen for it to show, and who is to find it. */
+/** A mutation, the check that must find it and the faults that it takes. */
 export interface Mutant extends Mutation {
   readonly check: string;
-  /** What the finding has to say, where faults of another kind would show too. */
-  readonly says?: RegExp;
-  /** The faults under which it shows; all when absent. */
+  /** Pattern of the finding, where the check would also find other errors. */
+  readonly findingPattern?: RegExp;
+  /** Kinds of faults to apply; all when absent. */
   readonly kinds?: readonly FaultKind[];
-  /** Mean time between two series of them, where it matters. */
+  /** Mean time between two series of faults, where it matters. */
   readonly seriesEveryMs?: number;
   readonly faultsForMs?: number;
 }
--- a/packages/soak/src/mutations.test.ts
+++ b/packages/soak/src/mutations.test.ts
@@ -4,7 +4,9 @@
 
 const ROOT = new URL('../../../', import.meta.url);
 
-/** The compiled module that an edit changes. */
+/**
+ * Text of the compiled module that an edit changes; empty when there is none.
+ */
 function readModule(module: string): string {
   const places = [`packages/${module}`, module];
   const found = places
@@ -13,8 +15,9 @@
   return found === undefined ? '' : readFileSync(found, 'utf8');
 }
 
-test('each mutant still changes the program', t => {
-  // Guards against mutants that are never found since the code has moved on.
+test('the text that each mutant replaces is in the compiled program', t => {
+  // Guards against mutants whose text to replace is gone since the code
+  // changed.
   const stale = MUTANTS.flatMap(({name, edits}) =>
     edits
       .filter(({module, from}) => !readModule(module).includes(from))
--- a/packages/soak/src/mutations.ts
+++ b/packages/soak/src/mutations.ts
@@ -1,4 +1,4 @@
-/** Seeded faults of the program; a soak of each must find it. */
+/** Seeded faults of the program; a soak must find each of them. */
 
 import {EVACUATE, RATE_LIMIT} from './fault_plan.js';
 import type {Mutant} from './mutant.js';
@@ -113,7 +113,7 @@
         from: 'return next <= this.allowance() && this.saved >= 1;',
         to: 'return true;',
       },
-      // An endpoint that refuses is asked on, and looks idle.
+      // An endpoint that refuses keeps getting requests, and looks idle.
       {
         module: 'routing/dist/endpoint_monitor.js',
         from: "if (outcome === 'rejected')",
@@ -230,7 +230,7 @@
   {
     name: 'seals_again',
     check: 'one_figure',
-    // A holder has to report, and its successor to look back to that.
+    // A holder has to report a window that its successor then looks at again.
     kinds: KILLS,
     seriesEveryMs: 5000,
     faultsForMs: 40_000,
--- a/packages/soak/src/rate_limits.ts
+++ b/packages/soak/src/rate_limits.ts
@@ -1,31 +1,32 @@
-/** When endpoints announce rate limits. */
+/** Draws when endpoints announce rate limits. */
 
-import {drawInTurn} from './drawn_in_turn.js';
+import {drawSequentialFaults} from './sequential_faults.js';
 import {RATE_LIMIT, type PlannedFault} from './fault_plan.js';
 
-/** What the limits are drawn from. */
+/** Options of {@link drawRateLimits}. */
 export interface RateLimitsOptions {
   readonly seed: number;
-  /** Limits begin within this time. */
+  /** Limits start within this time. */
   readonly forMs: number;
   readonly endpoints: number;
 }
 
 /**
- * One endpoint after the other, each for longer than instances may take to act.
+ * Draws rate limits of one endpoint after another. Each lasts longer than
+ * instances may take to apply it.
  *
  * @example
  * const faults = drawRateLimits({seed: 7, forMs: 20_000, endpoints: 10});
  */
 export function drawRateLimits(options: RateLimitsOptions): PlannedFault[] {
   const {seed, forMs, endpoints} = options;
-  return drawInTurn({
+  return drawSequentialFaults({
     kind: RATE_LIMIT,
     seed,
     forMs,
-    targets: endpoints,
+    targetCount: endpoints,
     firstAtMs: 1000,
-    lastsMs: [8000, 12_000],
-    pauseMs: [500, 4000],
+    durationRangeMs: [8000, 12_000],
+    intervalRangeMs: [500, 4000],
   });
 }
--- a/packages/soak/src/soak.test.ts
+++ b/packages/soak/src/soak.test.ts
@@ -2,10 +2,10 @@
 import {runSoak} from './soak.js';
 import {buildProgram} from './world/program.js';
 
-test('a short run of real processes under random faults keeps all promises', async t => {
-  // Kills, stops, cuts and a store that fails overlap for some seconds, while
-  // callers keep their connections. Whatever goes wrong shows to a caller, an
-  // endpoint or the provider.
+test('a short run of real processes under random faults breaks no guarantee', async t => {
+  // Kills, stops, cut connections and store failures overlap for some seconds
+  // while callers keep their connections. Violations are checked on what
+  // callers, endpoints and the provider saw.
   t.timeout(120_000);
   const program = await buildProgram();
   const {findings, history, faults} = await runSoak({
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -1,4 +1,4 @@
-/** One run: a world, its traffic, its faults, and what they show. */
+/** Runs real processes under traffic and faults and checks what was seen. */
 
 import {checkAll} from './checks/all_checks.js';
 import type {Finding} from './checks/check.js';
@@ -18,38 +18,38 @@
 import {Traffic} from './world/traffic.js';
 import {World} from './world/world.js';
 
-/** What a run is made from; defaults in the brackets. */
+/** Options of {@link runSoak}; defaults in brackets. */
 export interface SoakOptions {
   readonly seed: number;
   readonly program: string;
-  /** How long faults come (20 s). */
+  /** How long faults are applied, in ms (20,000). */
   readonly faultsForMs?: number;
   /** Processes of the real program (6). */
   readonly instances?: number;
-  /** (6) */
+  /** Model engines (6). */
   readonly engines?: number;
-  /** (4) */
+  /** Endpoints of the plain service (4). */
   readonly services?: number;
   /** Data centres, at most three; instances in one relay to each other (2). */
   readonly dataCentres?: number;
-  /** (60) */
+  /** Requests a second (60). */
   readonly requestsPerS?: number;
-  /** Mean time between two series of faults (1,800 ms). */
+  /** Mean time between two series of faults, in ms (1,800). */
   readonly seriesEveryMs?: number;
-  /** Mean time between turns in which a data centre's instances stop (15 s). */
+  /** Mean time between turns of stops in a data centre, in ms (15,000). */
   readonly stopTurnsEveryMs?: number;
-  /** Kinds of faults that may come (all). */
+  /** Kinds of faults to apply (all). */
   readonly kinds?: readonly FaultKind[];
 }
 
-/** What a run showed. */
+/** Result of a run. */
 export interface SoakResult {
   readonly seed: number;
   readonly findings: readonly Finding[];
   readonly history: History;
-  /** Faults as they were applied. */
+  /** One line for each fault that was applied. */
   readonly faults: readonly string[];
-  /** Times in findings are since this moment. */
+  /** Start of the traffic, on the same clock as the times of findings. */
   readonly startedAtMs: number;
 }
 
@@ -57,15 +57,18 @@
 const DEFAULT_INSTANCES = 6;
 const DEFAULT_ENGINES = 6;
 const DEFAULT_SERVICES = 4;
-/** With three instances each: one that is left is fewer than half of them. */
+/** Gives each three instances, so that a single one left is fewer than half. */
 const DEFAULT_DATA_CENTRES = 2;
 const DEFAULT_REQUESTS_PER_S = 60;
-/** Many wait for long streams or keep an open connection. */
-const CALLERS_PER_REQUEST_A_SECOND = 2;
-/** After the last fault: the settling and a while to see it served. */
+/** Many callers wait for long streams or before the first request. */
+const CALLERS_PER_REQUEST_PER_S = 2;
+/** After the last fault: time to recover, then requests that must be served. */
 const QUIET_FOR_MS = 9000;
 
 /**
+ * Runs one soak and closes its processes.
+ *
+ * @throws Error when an instance does not get ready in time.
  * @example
  * const {findings} = await runSoak({seed: 7, program});
  */
@@ -88,7 +91,7 @@
     const traffic = new Traffic({
       seed,
       requestsPerS,
-      callers: Math.ceil(requestsPerS * CALLERS_PER_REQUEST_A_SECOND),
+      callers: Math.ceil(requestsPerS * CALLERS_PER_REQUEST_PER_S),
       instances,
       operator,
       history,
@@ -101,7 +104,7 @@
     injector.start(drawPlan(options, faultsForMs, world));
     await pause(faultsForMs);
     injector.stop();
-    history.quietFromMs = nowMs();
+    history.faultsEndedAtMs = nowMs();
     await pause(QUIET_FOR_MS);
     await traffic.stop();
     stalls.stop();
@@ -114,7 +117,9 @@
   }
 }
 
-/** Evacuations, rate limits and stops in turn come beside the others. */
+/**
+ * Evacuations, rate limits and turns of stops are drawn apart from the others.
+ */
 function drawPlan(
   options: SoakOptions,
   forMs: number,
--- a/packages/soak/src/stop_mutations.ts
+++ b/packages/soak/src/stop_mutations.ts
@@ -1,16 +1,19 @@
-/** Seeded faults of how the program stops and reloads. */
+/** Seeded faults of the way in which the program stops and reloads. */
 
 import type {Mutant} from './mutant.js';
 
 const STOPS = ['instance_terminate'] as const;
-/** A stop refuses what it can't finish, whatever it still listens to. */
+/**
+ * A stopping instance refuses requests that it can't finish, even while it
+ * still listens. This edit removes the refusal.
+ */
 const TAKES_EVERYTHING = {
   module: 'routing/dist/shutdown.js',
   from: 'endsAtMs <= graceEndsAtMs',
   to: 'true',
 } as const;
 
-/** Each must be found by a soak with stops. */
+/** A soak with stops or reloads must find each of them. */
 export const STOP_MUTANTS: readonly Mutant[] = [
   {
     name: 'stops_at_once',
@@ -27,8 +30,8 @@
   {
     name: 'listens_to_the_end',
     check: 'nothing_lost',
-    // Connections from before show another fault than listening.
-    says: /connected [3-9]\d{3} ms after/,
+    // Connections opened before the stop show another fault than listening.
+    findingPattern: /connected [3-9]\d{3} ms after/,
     kinds: STOPS,
     edits: [
       {
--- a/packages/soak/src/stop_turns.test.ts
+++ b/packages/soak/src/stop_turns.test.ts
@@ -7,8 +7,9 @@
 ];
 
 test('the instances of one data centre stop in turn, within one grace time', t => {
-  // The balancer falls back on instances that stop when fewer than half of a
-  // data centre are left: callers then meet them seconds after their signal.
+  // When fewer than half of a data centre's instances are in rotation, the
+  // balancer also uses stopping ones: callers reach them seconds after their
+  // signal. Guards against stops too far apart to bring that about.
   const stops = drawStopTurns({
     seed: 7,
     forMs: 10_000,
@@ -22,7 +23,7 @@
   t.true(stops.at(-1)!.atMs - stops[0].atMs < 3000);
 });
 
-test('some turns leave one instance and some none', t => {
+test('some turns leave one instance running and some none', t => {
   const stops = drawStopTurns({
     seed: 1,
     forMs: 1_000_000,
--- a/packages/soak/src/stop_turns.ts
+++ b/packages/soak/src/stop_turns.ts
@@ -1,31 +1,39 @@
-/** When the instances of one data centre are stopped in turn. */
+/**
+ * Draws turns, in which the instances of one data centre stop one after
+ * another.
+ */
 
 import {randomInt, randomLcg, randomUniform} from 'd3-random';
 import type {PlannedFault} from './fault_plan.js';
 
-/** What the turns are drawn from. */
+/** Options of {@link drawStopTurns}. */
 export interface StopTurnsOptions {
   readonly seed: number;
-  /** Turns begin within this time. */
+  /** Turns start within this time. */
   readonly forMs: number;
-  /** Which instances are in one data centre, each by its place among all. */
+  /** Indexes of the instances of each data centre. */
   readonly dataCentres: ReadonlyArray<readonly number[]>;
-  /** Mean time from the start of a turn to the next (15 s). */
+  /** Mean time from the start of a turn to that of the next, in ms (15,000). */
   readonly everyMs?: number;
 }
 
-/** About as long as an instance takes to stop and be back, twice. */
+/**
+ * About twice the time that an instance takes to stop and to be ready again.
+ */
 const DEFAULT_EVERY_MS = 15_000;
-/** By then callers have long streams under way. */
-const FIRST_AT_MS = 3000;
-/** Well within a grace time, so that those of a turn stop together. */
-const SHORTEST_GAP_MS = 200;
-const LONGEST_GAP_MS = 900;
+/** By then callers have long streams in flight. */
+const FIRST_TURN_AT_MS = 3000;
+/**
+ * Gaps are much shorter than the grace time, so that the stops of a turn
+ * overlap.
+ */
+const MIN_GAP_MS = 200;
+const MAX_GAP_MS = 900;
 
 /**
- * A turn stops all instances of a data centre or all but one, each while those
- * before it still finish their work. Only then does a balancer fall back on
- * instances that are out of rotation, or on another data centre.
+ * Draws turns of stops. A turn stops all instances of a data centre or all but
+ * one, each while the previous ones still finish their requests. Only then does
+ * a balancer fall back on instances out of rotation or on another data centre.
  *
  * @example
  * const stops = drawStopTurns({seed: 7, forMs: 20_000, dataCentres: [[0, 2, 4]]});
@@ -34,21 +42,18 @@
   const {seed, forMs, dataCentres, everyMs = DEFAULT_EVERY_MS} = options;
   const source = randomLcg(seed);
   const drawPauseMs = randomUniform.source(source)(everyMs / 2, everyMs * 1.5);
-  const drawGapMs = randomUniform.source(source)(
-    SHORTEST_GAP_MS,
-    LONGEST_GAP_MS,
-  );
+  const drawGapMs = randomUniform.source(source)(MIN_GAP_MS, MAX_GAP_MS);
   const drawIndex = (count: number) => randomInt.source(source)(count)();
   const stops: PlannedFault[] = [];
-  for (let turnMs = FIRST_AT_MS; turnMs < forMs; turnMs += drawPauseMs()) {
+  for (let turnMs = FIRST_TURN_AT_MS; turnMs < forMs; turnMs += drawPauseMs()) {
     const instances = dataCentres[drawIndex(dataCentres.length)];
     const first = drawIndex(instances.length);
-    const spared = drawIndex(2);
+    const remainingCount = drawIndex(2);
     let atMs = turnMs;
-    for (let step = 0; step < instances.length - spared; step += 1) {
+    for (let step = 0; step < instances.length - remainingCount; step += 1) {
       const target = instances[(first + step) % instances.length];
       const kind = 'instance_terminate';
-      stops.push({kind, atMs: Math.round(atMs), forMs: 0, target});
+      stops.push({kind, atMs: Math.round(atMs), durationMs: 0, target});
       atMs += drawGapMs();
     }
   }
--- a/packages/soak/src/test_support/small_history.ts
+++ b/packages/soak/src/test_support/small_history.ts
@@ -1,4 +1,4 @@
-/** A history with one request, to be bent by tests. */
+/** Builds small histories, of which tests change some values. */
 
 import type {Run} from '@snipestage/platform_stand_ins/endpoint_stand_in.js';
 import {
@@ -11,12 +11,12 @@
 import {History, type SentRequest} from '../history.js';
 
 export const INSTANCE = brandAs<InstanceId>('akl-a-1');
-/** A request that was sent at 10 s and answered, as far as nothing else is said. */
+/** A request that was sent at 10 s and answered, unless changed. */
 export function makeRequest(changes: Partial<SentRequest> = {}): SentRequest {
   return {
     requestId: 'r1',
     instance: INSTANCE,
-    life: 1,
+    processNumber: 1,
     kind: 'non_idempotent',
     isResumable: false,
     maxAttempts: 2,
@@ -33,14 +33,14 @@
       kind: 'answered',
       status: 200,
       signature: 's1',
-      answersRequest: 'r1',
+      answeredRequestId: 'r1',
       bodyDigest: 'answer',
     },
     ...changes,
   };
 }
 
-/** The run that belongs to {@link makeRequest}. */
+/** The run of {@link makeRequest} at an endpoint, unless changed. */
 export function makeRun(changes: Partial<Run> = {}): Run {
   return {
     requestId: 'r1',
--- a/packages/soak/src/world/caller.ts
+++ b/packages/soak/src/world/caller.ts
@@ -14,8 +14,8 @@
 import {HOST} from './operator.js';
 import type {DrawnRequest} from './request_draw.js';
 
-/** After its time a caller waits so much longer, to see a late answer. */
-const PATIENCE_MS = 1500;
+/** Callers wait this long beyond their timeout, to see late answers. */
+const LATE_ANSWER_WAIT_MS = 1500;
 
 /** Sends one request at a time. */
 export class Caller {
@@ -26,7 +26,7 @@
 
   constructor(private readonly nowMs: () => number) {}
 
-  /** Whose connection it has or had last. */
+  /** The instance of its current connection or the last one. */
   get instance(): Instance | undefined {
     return this.current;
   }
@@ -37,22 +37,22 @@
   }
 
   /**
-   * Opens a connection in place of the one before, without a request.
+   * Closes the previous connection and opens one, without sending a request.
    *
-   * @returns false when it was refused.
+   * @returns false when it could not be opened.
    */
   async connectTo(instance: Instance): Promise<boolean> {
     this.close();
     this.current = instance;
-    // The way in front of an instance accepts also when the instance refuses.
+    // The link in front of an instance accepts even when the instance refuses.
     if (!(await instance.isListening())) return false;
-    const connection = new CallerConnection(instance.callersWay.address);
+    const connection = new CallerConnection(instance.callerLink.address);
     this.connection = connection;
     this.connectedAtMs = this.nowMs();
     return connection.opened();
   }
 
-  /** Resolves when the request has ended one way or another. */
+  /** Resolves when the request has ended, whatever its outcome. */
   async send(drawn: DrawnRequest): Promise<void> {
     const {request} = drawn;
     request.connectedAtMs = this.connectedAtMs;
@@ -66,7 +66,7 @@
   }
 
   private exchange(drawn: DrawnRequest): Promise<Outcome> {
-    const {request, body, promptTokens, leavesAfterMs} = drawn;
+    const {request, body, promptTokens, hangsUpAfterMs} = drawn;
     return new Promise(resolve => {
       let hasSent = false;
       const call = httpRequest({
@@ -82,19 +82,19 @@
         }),
       });
       const end = (outcome: Outcome) => {
-        clearTimeout(patience);
-        clearTimeout(leave);
+        clearTimeout(giveUpTimer);
+        clearTimeout(hangUpTimer);
         resolve(outcome);
         if (outcome.kind !== 'answered') call.destroy();
       };
-      const patience = setTimeout(
+      const giveUpTimer = setTimeout(
         () => end({kind: 'unanswered'}),
-        request.callerTimeoutMs + PATIENCE_MS,
+        request.callerTimeoutMs + LATE_ANSWER_WAIT_MS,
       );
-      const leave =
-        leavesAfterMs === undefined
+      const hangUpTimer =
+        hangsUpAfterMs === undefined
           ? undefined
-          : setTimeout(() => end({kind: 'left'}), leavesAfterMs);
+          : setTimeout(() => end({kind: 'left'}), hangsUpAfterMs);
       call.once('finish', () => {
         hasSent = true;
         request.lastByteAtMs = this.nowMs();
@@ -118,7 +118,7 @@
     kind: 'answered',
     status: response.statusCode ?? 0,
     signature: readSignature(response.headers),
-    answersRequest: readRequestId(response.headers),
+    answeredRequestId: readRequestId(response.headers),
     bodyDigest: digest(Buffer.concat(chunks)),
   };
 }
--- a/packages/soak/src/world/caller_connection.ts
+++ b/packages/soak/src/world/caller_connection.ts
@@ -3,7 +3,9 @@
 import {Agent} from 'node:http';
 import {connect, type Socket} from 'node:net';
 
-/** Hands its one connection to each request in turn, and never opens another. */
+/**
+ * Agent that sends all requests over one connection and never opens another.
+ */
 export class CallerConnection extends Agent {
   private readonly socket: Socket;
   /** The agent lists connections only after their first request. */
@@ -18,7 +20,7 @@
     const [host, port] = address.split(':');
     this.socket = connect({host, port: Number(port)});
     this.socket.setNoDelay(true);
-    // Noticed by its being destroyed.
+    // An error destroys the socket, which is what is checked.
     this.socket.on('error', () => undefined);
   }
 
--- a/packages/soak/src/world/endpoint.ts
+++ b/packages/soak/src/world/endpoint.ts
@@ -1,4 +1,4 @@
-/** One place for an endpoint: its lives follow one another. */
+/** One place for an endpoint, filled by one generation after another. */
 
 import {
   removeEndpoint,
@@ -22,10 +22,10 @@
 } from '@snipestage/types/ids.js';
 import type {History} from '../history.js';
 
-/** What an {@link Endpoint} is made from. */
+/** Options of {@link Endpoint}. */
 export interface EndpointOptions {
   readonly place: string;
-  /** Where its lives and the ways to them listen. */
+  /** Address on which its generations and the links to them listen. */
   readonly host: string;
   readonly service: ServiceId;
   readonly dataCentre: DataCentreId;
@@ -37,36 +37,38 @@
   readonly nowMs: () => number;
 }
 
-/** Served on after the notice, and a little longer. */
-const LINGER_MS = 600;
+/** A leaving endpoint stays listed for the drain bound and this much longer. */
+const DRAIN_MARGIN_MS = 600;
 /**
- * The longest streams last five seconds: an endpoint that leaves finishes them.
- * Cut off by it they would count as lost by the instance that passes them on.
+ * Time to finish streams after the entry is removed. The longest last 5 s; when
+ * cut off, they would count as lost by the instance that relays them.
  */
-const LAST_RUN_MS = 6000;
-/** An entry goes with its writer, after some silence. */
-const ENTRY_LAPSES_AFTER_MS = 1500;
+const FINISH_STREAMS_MS = 6000;
+/**
+ * The entry of a killed endpoint expires after its writer was silent so long.
+ */
+const ENTRY_EXPIRY_MS = 1500;
 
-/** Owns the stand-in of its life and the way to it. */
+/** Owns the stand-ins of its generations and the links to them. */
 export class Endpoint {
-  private life = 0;
+  private generation = 0;
   private standIn!: EndpointStandIn;
   private way!: Link;
-  private readonly closing: Array<() => void> = [];
+  private readonly closeCallbacks: Array<() => void> = [];
 
   constructor(private readonly options: EndpointOptions) {}
 
   get id(): EndpointId {
-    return brandAs<EndpointId>(`${this.options.place}.${this.life}`);
+    return brandAs<EndpointId>(`${this.options.place}.${this.generation}`);
   }
 
   get link(): Link {
     return this.way;
   }
 
-  /** A new life under a new id, at an address of its own. */
+  /** Starts a new generation, with a new id and address. */
   async start(): Promise<void> {
-    this.life += 1;
+    this.generation += 1;
     const {service, capacity, isEngine, random, host} = this.options;
     const standIn = new EndpointStandIn({
       id: this.id,
@@ -80,13 +82,13 @@
     const way = new Link({host, targetHost: host, targetPort});
     await way.start();
     this.way = way;
-    this.closing.push(() => {
+    this.closeCallbacks.push(() => {
       standIn.stop();
       void way.stop();
       this.options.history.addRuns(standIn.runs);
     });
     const {history, dataCentre, store} = this.options;
-    history.endpointPlaces.set(this.id, dataCentre);
+    history.endpointDataCentres.set(this.id, dataCentre);
     writeEndpoint(store, this.describe(false));
   }
 
@@ -95,9 +97,9 @@
   }
 
   /**
-   * Announces a rate limit in the answers of this life.
+   * Announces a rate limit in the answers of the current generation.
    *
-   * @returns ends the limit.
+   * @returns a function that lifts the limit.
    */
   limitRate(rateLimitPerS: number): () => void {
     const {id, standIn} = this;
@@ -112,17 +114,21 @@
     };
   }
 
-  /** Gone without a word; another life begins, and the entry lapses. */
+  /**
+   * Stops without notice, starts the next generation; the entry expires later.
+   */
   async kill(): Promise<void> {
     const {store} = this.options;
     const {id, standIn, way} = this;
     standIn.stop();
     await way.stop();
-    setTimeout(() => removeEndpoint(store, id), ENTRY_LAPSES_AFTER_MS);
+    setTimeout(() => removeEndpoint(store, id), ENTRY_EXPIRY_MS);
     await this.start();
   }
 
-  /** The next life begins, this one says that it leaves and goes later. */
+  /**
+   * Starts the next generation; this one announces its leaving and stops later.
+   */
   async replace(): Promise<void> {
     const {store, history, nowMs} = this.options;
     const {id, standIn} = this;
@@ -130,14 +136,14 @@
     await this.start();
     writeEndpoint(store, leaving);
     history.leavingNotices.set(id, nowMs());
-    const goneAfterMs = history.bounds.drainMs + LINGER_MS;
+    const goneAfterMs = history.bounds.drainMs + DRAIN_MARGIN_MS;
     setTimeout(() => removeEndpoint(store, id), goneAfterMs);
-    setTimeout(() => standIn.stop(), goneAfterMs + LAST_RUN_MS);
+    setTimeout(() => standIn.stop(), goneAfterMs + FINISH_STREAMS_MS);
   }
 
-  /** Closes all lives and hands over what they saw. */
+  /** Closes all generations and adds what they saw to the history. */
   close(): void {
-    for (const close of this.closing) close();
+    for (const close of this.closeCallbacks) close();
   }
 
   private describe(isLeaving: boolean): ServingEndpoint {
--- a/packages/soak/src/world/instance.ts
+++ b/packages/soak/src/world/instance.ts
@@ -1,4 +1,4 @@
-/** One instance: a real process that is started again whenever it ends. */
+/** One instance: a real process that is restarted whenever it ends. */
 
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {get} from 'node:http';
@@ -19,44 +19,44 @@
 import type {Disturbance, History, ProcessEnd} from '../history.js';
 import {CLOCK_FILE_VARIABLE} from './program.js';
 
-/** What an {@link Instance} is made from. */
+/** Options of {@link Instance}. */
 export interface InstanceOptions {
   readonly settings: InstanceSettings;
   readonly program: string;
   readonly history: History;
-  /** Its own way to the store. */
-  readonly storeWay: Link;
+  /** The link between this instance and the store. */
+  readonly storeLink: Link;
   readonly nowMs: () => number;
 }
 
 const RESTART_AFTER_MS = 300;
-/** A process that has not ended by then did not keep to its grace time. */
+/** A process that still runs this long after its grace time is killed. */
 const KILL_MARGIN_MS = 300;
 const POLL_MS = 100;
 const PROBE_TIMEOUT_MS = 800;
-const LISTEN_CHECK_MS = 300;
+const LISTEN_CHECK_TIMEOUT_MS = 300;
 const SETTINGS_VARIABLE = 'SNIPESTAGE_SETTINGS';
-const MOST_ERROR_CHARACTERS = 400;
+const MAX_ERROR_CHARACTERS = 400;
 
-/** Owns the process, the ways to it and its files. */
+/** Owns the process, its links to callers and to the store, and its files. */
 export class Instance {
   readonly id: InstanceId;
-  readonly callersWay: Link;
-  /** Counts its processes. */
-  life = 0;
+  readonly callerLink: Link;
+  /** Number of its process, counted from 1; 0 before the first. */
+  processNumber = 0;
   private process: LaunchedProcess | undefined;
   private cause: ProcessEnd['cause'];
   private signalledAtMs = 0;
   private isClosing = false;
   private wasReady = false;
-  /** From a kill until the process that follows is ready. */
-  private restart: Disturbance | undefined;
+  /** From a signal or an end until the next process is ready. */
+  private restartDisturbance: Disturbance | undefined;
   private readonly folder = mkdtempSync(join(tmpdir(), 'snipestage-soak-'));
 
   constructor(private readonly options: InstanceOptions) {
     const {instance, host, callersPort} = options.settings;
     this.id = instance;
-    this.callersWay = new Link({
+    this.callerLink = new Link({
       host,
       targetHost: host,
       targetPort: callersPort,
@@ -67,35 +67,35 @@
     return this.options.settings.dataCentre;
   }
 
-  get storeWay(): Link {
-    return this.options.storeWay;
+  get storeLink(): Link {
+    return this.options.storeLink;
   }
 
-  /** Whether a process is there and has not been told to stop. */
+  /** Whether its process runs and has been neither killed nor told to stop. */
   get isUp(): boolean {
     return this.process?.isRunning === true && this.cause === undefined;
   }
 
-  /** What its last process wrote. */
+  /** Standard output of its latest process. */
   get output(): string {
     return this.process?.stdout ?? '';
   }
 
   async start(): Promise<void> {
-    await this.callersWay.start();
-    await this.storeWay.start();
+    await this.callerLink.start();
+    await this.storeLink.start();
     writeFileSync(this.settingsPath, composeSettings(this.options.settings));
     writeFileSync(this.clockPath, '0');
     this.launch();
   }
 
-  /** Ends the process, by its id, and starts no other. */
+  /** Kills the process, by its id, and starts no other. */
   async close(): Promise<void> {
     this.isClosing = true;
     this.cause = 'killed';
     await this.process?.kill();
-    await this.callersWay.stop();
-    await this.storeWay.stop();
+    await this.callerLink.stop();
+    await this.storeLink.stop();
     rmSync(this.folder, {recursive: true, force: true});
   }
 
@@ -122,26 +122,26 @@
     this.process?.thaw();
   }
 
-  /** The settings file is written anew and the process told. */
+  /** Writes the settings file again and signals the process to reload it. */
   reload(): void {
     writeFileSync(this.settingsPath, composeSettings(this.options.settings));
     this.signal('SIGHUP');
   }
 
-  /** The process's time of day is off by this from now on. */
+  /** Sets the offset of the process's time of day from that of the machine. */
   setClockOffset(offsetMs: number): void {
     writeFileSync(this.clockPath, String(offsetMs));
     this.signal('SIGUSR2');
   }
 
-  /** Whether it does not refuse callers' connections. */
+  /** Whether callers' connections are not refused. */
   isListening(): Promise<boolean> {
     const {host, callersPort} = this.options.settings;
     return new Promise(resolve => {
       const socket = connect({
         host,
         port: callersPort,
-        timeout: LISTEN_CHECK_MS,
+        timeout: LISTEN_CHECK_TIMEOUT_MS,
       });
       const end = (isListening: boolean) => {
         socket.destroy();
@@ -149,12 +149,12 @@
       };
       socket.once('connect', () => end(true));
       socket.once('error', () => end(false));
-      // Nobody refused it: a process that is frozen accepts later.
+      // It was not refused: a frozen process accepts it later.
       socket.once('timeout', () => end(true));
     });
   }
 
-  /** Whether it says that it is ready. */
+  /** Whether its readiness probe succeeds. */
   isReady(): Promise<boolean> {
     const {host, readinessPort} = this.options.settings;
     return new Promise(resolve => {
@@ -186,11 +186,15 @@
     const {history, nowMs} = this.options;
     this.cause = cause;
     this.signalledAtMs = nowMs();
-    this.restart ??= history.disturb(this.id, cause, this.signalledAtMs);
+    this.restartDisturbance ??= history.recordDisturbance(
+      this.id,
+      cause,
+      this.signalledAtMs,
+    );
   }
 
   private launch(): void {
-    this.life += 1;
+    this.processNumber += 1;
     this.cause = undefined;
     this.wasReady = false;
     const launched = new LaunchedProcess({
@@ -211,16 +215,20 @@
     const atMs = nowMs();
     history.ends.push({
       instance: this.id,
-      life: this.life,
+      processNumber: this.processNumber,
       cause: this.cause,
       code,
       signal,
       wasReady: this.wasReady,
       tookMs: this.cause === undefined ? 0 : atMs - this.signalledAtMs,
       atMs,
-      lastError: launched.stderr.slice(-MOST_ERROR_CHARACTERS),
+      lastError: launched.stderr.slice(-MAX_ERROR_CHARACTERS),
     });
-    this.restart ??= history.disturb(this.id, 'ended', atMs);
+    this.restartDisturbance ??= history.recordDisturbance(
+      this.id,
+      'ended',
+      atMs,
+    );
     setTimeout(() => {
       if (!this.isClosing) this.launch();
     }, RESTART_AFTER_MS);
@@ -232,8 +240,8 @@
     }
     if (!launched.isRunning) return;
     this.wasReady = true;
-    if (this.restart === undefined) return;
-    this.restart.toMs = this.options.nowMs();
-    this.restart = undefined;
+    if (this.restartDisturbance === undefined) return;
+    this.restartDisturbance.toMs = this.options.nowMs();
+    this.restartDisturbance = undefined;
   }
 }
--- a/packages/soak/src/world/operator.ts
+++ b/packages/soak/src/world/operator.ts
@@ -1,4 +1,4 @@
-/** The operator: routes, keys and their changes. */
+/** The operator: routes, keys, evacuations and their changes. */
 
 import {
   writeConfiguration,
@@ -29,12 +29,12 @@
   readonly clientAccount: ClientAccountId;
 }
 
-const ACCOUNTS = 6;
-const KEYS_EACH = 3;
-const ENGINE_BATCH = 32;
+const ACCOUNT_COUNT = 6;
+const KEYS_PER_ACCOUNT = 3;
+const ENGINE_BATCH_SIZE = 32;
 const ENGINE_CACHE_TOKENS = 500_000;
-const TIMEOUT_MS = 12_000;
-const MAX_ENGINES = 4;
+const ROUTE_TIMEOUT_MS = 12_000;
+const MAX_ENGINE_COUNT = 4;
 const LIMITS = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 1_000_000,
@@ -42,7 +42,7 @@
   idleTimeoutMs: 30_000,
 };
 
-/** What each route of the soak is for. */
+/** Routes of the soak, apart from those of markers. */
 export const ROUTES: readonly Route[] = [
   describeRoute('look-up', 'idempotent', BOOKINGS),
   describeRoute('book', 'non_idempotent', BOOKINGS),
@@ -50,12 +50,12 @@
   {...describeRoute('draft', 'stream', ENGINES), isResumable: true},
 ];
 
-/** Path of the route that a marker adds. */
+/** Path prefix of the route that a marker adds. */
 export function markerPath(marker: number): string {
   return `/marker-${marker}/`;
 }
 
-/** Owns the configuration; each change is a new version. */
+/** Owns the configuration; each change writes a new version. */
 export class Operator {
   private version = 1;
   private markers = 0;
@@ -67,8 +67,8 @@
     private readonly history: History,
     private readonly nowMs: () => number,
   ) {
-    for (let account = 1; account <= ACCOUNTS; account += 1) {
-      for (let key = 1; key <= KEYS_EACH; key += 1) {
+    for (let account = 1; account <= ACCOUNT_COUNT; account += 1) {
+      for (let key = 1; key <= KEYS_PER_ACCOUNT; key += 1) {
         const clientAccount = brandAs<ClientAccountId>(`shop-${account}`);
         this.issued.push({key: `key-${account}-${key}`, clientAccount});
       }
@@ -80,12 +80,12 @@
     return this.issued;
   }
 
-  /** Markers so far, from 1. */
+  /** Number of markers added so far; they are numbered from 1. */
   get markerCount(): number {
     return this.markers;
   }
 
-  /** Puts the configuration in force. */
+  /** Writes the configuration to the store, under a new version. */
   write(): void {
     this.version += 1 + (this.version % 3);
     writeConfiguration(this.store, {
@@ -100,14 +100,14 @@
     });
   }
 
-  /** A route that shows on which version an instance is. */
+  /** Adds a route by which callers see whether an instance has this version. */
   addMarker(): void {
     this.markers += 1;
     this.write();
     this.history.markers.set(this.markers, this.nowMs());
   }
 
-  /** Takes a key away; each account keeps its first. */
+  /** Withdraws a key; each account keeps its first. */
   withdrawKey(target: number): void {
     const left = this.issued.filter(
       ({key}) => !this.withdrawn.has(key) && !key.endsWith('-1'),
@@ -122,7 +122,7 @@
   /**
    * Evacuates a data centre.
    *
-   * @returns restores it; undefined when it is evacuated already.
+   * @returns a function that restores it; undefined when evacuated already.
    */
   evacuate(dataCentre: DataCentreId): (() => void) | undefined {
     const {history, nowMs, store} = this;
@@ -149,10 +149,10 @@
   private engines(): Service {
     return {
       id: ENGINES,
-      engine: {batchSize: ENGINE_BATCH, cacheTokens: ENGINE_CACHE_TOKENS},
+      engine: {batchSize: ENGINE_BATCH_SIZE, cacheTokens: ENGINE_CACHE_TOKENS},
       scaling: {
         minCount: 1,
-        maxCount: MAX_ENGINES,
+        maxCount: MAX_ENGINE_COUNT,
         bootMs: 1000,
         cheapPriceRatio: 0.2,
         priceByDataCentre: new Map(),
@@ -184,7 +184,7 @@
     pathPrefix: `/${name}/`,
     kind,
     targets: [{service, weight: 1}],
-    timeoutMs: TIMEOUT_MS,
+    timeoutMs: ROUTE_TIMEOUT_MS,
     latencyTargetMs: 500,
     pauseTargetMs: kind === 'stream' ? 400 : undefined,
     tier: 1,
--- a/packages/soak/src/world/own_network.test.ts
+++ b/packages/soak/src/world/own_network.test.ts
@@ -5,7 +5,7 @@
 import {brandAs, type ServiceId} from '@snipestage/types/ids.js';
 import {networkOf} from './own_network.js';
 
-test('runs side by side have networks of their own', t => {
+test('concurrent runs have separate networks', t => {
   const networks = [250, 251, 499, 500, 62_499].map(networkOf);
   t.deepEqual(networks, [
     '127.3.0',
@@ -17,9 +17,9 @@
 });
 
 test('a call for an address of another run does not reach an endpoint', async t => {
-  // A soak is killed, and one of its instances goes on asking for the store at
-  // 127.0.0.1. The system gives the store's port to an endpoint of another soak,
-  // which then reports hundreds of requests that nobody sent.
+  // An instance that outlives its killed soak keeps calling the store at
+  // 127.0.0.1. When the system gives that port to an endpoint of another soak,
+  // the endpoint reports hundreds of requests that no caller of its run sent.
   const endpoint = new EndpointStandIn({
     id: 'engine-0.1',
     service: brandAs<ServiceId>('engines'),
--- a/packages/soak/src/world/own_network.ts
+++ b/packages/soak/src/world/own_network.ts
@@ -1,20 +1,20 @@
-/** Loopback addresses that only one run uses. */
+/** Loopback addresses that no other run uses. */
 
-/** 127.0 and 127.1 are left to others. */
-const FIRST_NETWORK = 2;
-const NUMBERS = 250;
+/** 127.0 and 127.1 are left to other programs. */
+const FIRST_NETWORK_NUMBER = 2;
+const NUMBER_COUNT = 250;
 
 /**
- * The first three numbers of the addresses of a process. What others on the
- * machine call at 127.0.0.1 must not be met: the system gives its ports to any
- * listener in turn, and an instance that outlives its soak goes on asking for
- * its store some twenty times a second at the old address.
+ * Returns the first three numbers of the addresses of a run, by its process id.
+ * Other programs' calls to 127.0.0.1 must not reach the run: the system reuses
+ * ports for any listener, and an instance that outlives its soak keeps calling
+ * its store at the old address, some twenty times a second.
  *
  * @example
  * const host = `${networkOf(process.pid)}.1`;
  */
 export function networkOf(processId: number): string {
-  const low = processId % NUMBERS;
-  const high = Math.floor(processId / NUMBERS) % NUMBERS;
-  return `127.${FIRST_NETWORK + high}.${low}`;
+  const low = processId % NUMBER_COUNT;
+  const high = Math.floor(processId / NUMBER_COUNT) % NUMBER_COUNT;
+  return `127.${FIRST_NETWORK_NUMBER + high}.${low}`;
 }
--- a/packages/soak/src/world/program.ts
+++ b/packages/soak/src/world/program.ts
@@ -1,9 +1,11 @@
-/** Builds the program that the soak runs: the real one, in one file. */
+/**
+ * Builds the program that the soak runs: the real one, bundled into one file.
+ */
 
 import {mkdirSync, readFileSync} from 'node:fs';
 import {build, type Plugin} from 'esbuild';
 
-/** A seeded fault of the program, to see that a check finds it. */
+/** A seeded fault of the program, to test that a check finds it. */
 export interface Mutation {
   readonly name: string;
   readonly edits: readonly Edit[];
@@ -11,7 +13,7 @@
 
 /** A change of the text of one compiled module. */
 export interface Edit {
-  /** End of its path. */
+  /** End of the path of the module. */
   readonly module: string;
   readonly from: string;
   readonly to: string;
@@ -19,14 +21,14 @@
 
 const ENTRY = 'platform/dist/main.js';
 const FOLDER = 'target/soak';
-/** File that says by how much the time of day is off, in milliseconds. */
+/** Variable with the path of the file that holds the clock offset, in ms. */
 export const CLOCK_FILE_VARIABLE = 'SOAK_CLOCK_FILE';
 
 const PARENT_CHECK_EVERY_MS = 1000;
 /**
- * Put before the program, which is untouched. The time of day of one process
- * can't be set from outside: a clock that jumps when a signal comes. And an
- * instance whose soak was killed would go on for good: it goes as well.
+ * Code put before the program, which is otherwise unchanged. The time of day of
+ * one process can't be set from outside, so a signal makes its clock jump. And
+ * an instance whose soak was killed would run for ever, so it exits as well.
  */
 const PREAMBLE = `{
   const now = Date.now;
@@ -43,6 +45,8 @@
 }`;
 
 /**
+ * Builds the program, with the edits of a mutation if there is one.
+ *
  * @returns the path of the built program.
  * @throws Error when an edit's text is not in its module.
  * @example
@@ -50,8 +54,9 @@
  */
 export async function buildProgram(mutation?: Mutation): Promise<string> {
   mkdirSync(FOLDER, {recursive: true});
-  // Runs side by side each build their own: one that starts a file while another
-  // writes it gets a part of a program, which ends at once without an error.
+  // Concurrent runs each build their own file: a process started from a file
+  // that is still being written runs a part of the program and ends without an
+  // error.
   const outfile = `${FOLDER}/${mutation?.name ?? 'snipestage'}.${process.pid}.cjs`;
   await build({
     entryPoints: [ENTRY],
--- a/packages/soak/src/world/request_draw.ts
+++ b/packages/soak/src/world/request_draw.ts
@@ -1,4 +1,4 @@
-/** Draws what callers ask for. */
+/** Draws the requests of callers. */
 
 import {randomInt} from 'd3-random';
 import {
@@ -10,7 +10,7 @@
 import type {Instance} from './instance.js';
 import {HOST, markerPath, ROUTES, type Operator} from './operator.js';
 
-/** What a {@link RequestDraw} is made from. */
+/** Options of {@link RequestDraw}. */
 export interface RequestDrawOptions {
   readonly seed: number;
   readonly source: () => number;
@@ -18,37 +18,43 @@
   readonly nowMs: () => number;
 }
 
-/** A request and what is sent with it. */
+/** A request, what is sent with it, and when its caller hangs up. */
 export interface DrawnRequest {
   readonly request: SentRequest;
   readonly body: string;
   readonly promptTokens: number | undefined;
-  /** Its answer goes on for seconds. */
+  /** Its answer is a stream of several seconds. */
   readonly isLong: boolean;
-  /** The caller hangs up so long after its send. */
-  readonly leavesAfterMs: number | undefined;
+  /** The caller hangs up after this time; undefined when it waits. */
+  readonly hangsUpAfterMs: number | undefined;
 }
 
 const MARKER_SHARE = 0.1;
-const LEAVING_SHARE = 0.1;
-/** Some wait for longer than an instance that stops may go on. */
-const PATIENCES_MS = [1500, 2500, 9000] as const;
-const [, , LONGEST_PATIENCE_MS] = PATIENCES_MS;
-const BODY_CHARACTERS = 600;
-const PROMPT_TOKENS = [400, 1500, 6000] as const;
-/** Of the streams: some on each instance, to keep it alive while it stops. */
+const HANG_UP_SHARE = 0.1;
+/** The longest exceeds the grace time of a stopping instance. */
+const CALLER_TIMEOUTS_MS = [1500, 2500, 9000] as const;
+const [, , LONGEST_CALLER_TIMEOUT_MS] = CALLER_TIMEOUTS_MS;
+const MAX_BODY_CHARACTERS = 600;
+const PROMPT_TOKEN_COUNTS = [400, 1500, 6000] as const;
+/**
+ * Of the streams: each instance has some, which keep it running while it stops.
+ */
 const LONG_STREAM_SHARE = 0.25;
 const SHORTEST_LONG_STREAM_MS = 3000;
-/** Begun by the time the balancer notices a stop, it ends within the grace. */
+/**
+ * Started before the balancer notices a stop, it ends within the grace time.
+ */
 const LONGEST_LONG_STREAM_MS = 5000;
 
-/** Numbers the requests of a run. */
+/** Draws and numbers the requests of a run. */
 export class RequestDraw {
-  private drawn = 0;
+  private drawnCount = 0;
 
   constructor(private readonly options: RequestDrawOptions) {}
 
   /**
+   * Draws a request to an instance.
+   *
    * @example
    * const {request, body} = draw.drawFor(caller.instance);
    */
@@ -62,14 +68,15 @@
     const drawn = isLong
       ? this.drawLongStream(instance, route)
       : this.drawShort(instance, route);
-    if (source() >= LEAVING_SHARE) return drawn;
-    // More leave soon than late: before another endpoint is asked for them.
+    if (source() >= HANG_UP_SHARE) return drawn;
+    // The product makes early hang-ups more frequent than late ones: they come
+    // before another endpoint is tried.
     const shareOfWait = source() * source();
-    const leavesAfterMs = shareOfWait * drawn.request.callerTimeoutMs;
-    return {...drawn, leavesAfterMs};
+    const hangsUpAfterMs = shareOfWait * drawn.request.callerTimeoutMs;
+    return {...drawn, hangsUpAfterMs};
   }
 
-  /** A stream of some seconds, whose caller waits until its end. */
+  /** Draws a stream of several seconds, within the timeout of its caller. */
   drawLongStream(
     instance: Instance,
     route: Route = this.pick(ROUTES.filter(({kind}) => kind === 'stream')),
@@ -78,19 +85,24 @@
     const range = LONGEST_LONG_STREAM_MS - SHORTEST_LONG_STREAM_MS;
     const lastsMs = Math.round(SHORTEST_LONG_STREAM_MS + source() * range);
     const query = `&${STREAM_DURATION_PARAMETER}=${lastsMs}`;
-    const drawn = this.compose(instance, route, query, LONGEST_PATIENCE_MS);
+    const drawn = this.compose(
+      instance,
+      route,
+      query,
+      LONGEST_CALLER_TIMEOUT_MS,
+    );
     return {...drawn, isLong: true};
   }
 
   private drawShort(instance: Instance, route: Route): DrawnRequest {
-    return this.compose(instance, route, '', this.pick(PATIENCES_MS));
+    return this.compose(instance, route, '', this.pick(CALLER_TIMEOUTS_MS));
   }
 
   private drawMarker(instance: Instance): DrawnRequest {
     const {operator, source} = this.options;
     const marker = 1 + randomInt.source(source)(operator.markerCount)();
-    const [look] = ROUTES.filter(({kind}) => kind === 'idempotent');
-    const route = {...look, pathPrefix: markerPath(marker)};
+    const [lookUpRoute] = ROUTES.filter(({kind}) => kind === 'idempotent');
+    const route = {...lookUpRoute, pathPrefix: markerPath(marker)};
     const drawn = this.drawShort(instance, route);
     return {...drawn, request: {...drawn.request, marker}};
   }
@@ -103,15 +115,15 @@
   ): DrawnRequest {
     const {operator, nowMs, seed} = this.options;
     const body = route.kind === 'idempotent' ? '' : this.drawBody();
-    this.drawn += 1;
+    this.drawnCount += 1;
     const request: SentRequest = {
-      requestId: `r${seed}-${this.drawn}`,
+      requestId: `r${seed}-${this.drawnCount}`,
       instance: instance.id,
-      life: instance.life,
+      processNumber: instance.processNumber,
       kind: route.kind,
       isResumable: route.isResumable,
       maxAttempts: route.maxAttempts,
-      path: `${route.pathPrefix}${this.drawn}?host=${HOST}${query}`,
+      path: `${route.pathPrefix}${this.drawnCount}?host=${HOST}${query}`,
       bodyDigest: digest(body),
       ...this.pick(operator.keys),
       marker: undefined,
@@ -119,19 +131,19 @@
       sentAtMs: nowMs(),
     };
     const isStream = route.kind === 'stream';
-    const promptTokens = isStream ? this.pick(PROMPT_TOKENS) : undefined;
+    const promptTokens = isStream ? this.pick(PROMPT_TOKEN_COUNTS) : undefined;
     return {
       request,
       body,
       promptTokens,
       isLong: false,
-      leavesAfterMs: undefined,
+      hangsUpAfterMs: undefined,
     };
   }
 
   private drawBody(): string {
     const {source} = this.options;
-    const length = Math.ceil(source() * BODY_CHARACTERS);
+    const length = Math.ceil(source() * MAX_BODY_CHARACTERS);
     return source().toString(36).padEnd(length, 'x');
   }
 
--- a/packages/soak/src/world/rotation.ts
+++ b/packages/soak/src/world/rotation.ts
@@ -1,18 +1,18 @@
-/** Which instances the balancer has in rotation. */
+/** Instances that the balancer has in rotation. */
 
 import type {DataCentreId} from '@snipestage/types/ids.js';
 import {listCandidates} from '../balancer_rule.js';
 import type {Instance} from './instance.js';
 
 const PROBE_EVERY_MS = 1000;
-/** Misses in a row after which an instance is out of rotation. */
-const MISSES = 2;
+/** Failed probes in a row after which an instance is out of rotation. */
+const MISSES_UNTIL_OUT = 2;
 
-/** Asks all instances for their readiness, each second. */
+/** Probes the readiness of all instances every second. */
 export class Rotation {
   private timer: NodeJS.Timeout | undefined;
   private readonly misses = new Map<Instance, number>();
-  /** The nearest of each is the next one, as on a ring. */
+  /** Ordered as a ring: the nearest to each is the next one. */
   private readonly dataCentres: readonly DataCentreId[];
 
   constructor(private readonly instances: readonly Instance[]) {
@@ -28,14 +28,14 @@
     clearInterval(this.timer);
   }
 
-  /** Those that a new connection of a caller may go to. */
+  /** Instances to which a caller's new connection may go. */
   candidatesFor(callerIndex: number): readonly Instance[] {
     const home = callerIndex % this.dataCentres.length;
     const candidates = listCandidates({
       instances: this.instances.map(instance => ({
         instance,
         dataCentre: instance.dataCentre,
-        isInRotation: (this.misses.get(instance) ?? 0) < MISSES,
+        isInRotation: (this.misses.get(instance) ?? 0) < MISSES_UNTIL_OUT,
       })),
       dataCentres: [
         ...this.dataCentres.slice(home),
@@ -45,7 +45,9 @@
     return candidates.map(({instance}) => instance);
   }
 
-  /** An instance is out after two misses, and in again with the next hit. */
+  /**
+   * An instance is out after two failed probes, and in after the next good one.
+   */
   private async probeAll(): Promise<void> {
     await Promise.all(
       this.instances.map(async instance => {
--- a/packages/soak/src/world/stall_watch.ts
+++ b/packages/soak/src/world/stall_watch.ts
@@ -1,14 +1,14 @@
-/** Notices when the machine that runs a soak stands still. */
+/** Detects when the machine that runs a soak stalls. */
 
 import type {History} from '../history.js';
 
 const TICK_MS = 50;
-/** A tick that is so late shows that nobody got the processor. */
-const STALLED_MS = 300;
+/** Ticks further apart than this show that processes got no processor time. */
+const STALL_THRESHOLD_MS = 300;
 
 /**
- * On a machine that is starved of its processor, nothing can be done in time,
- * by nobody's fault: bounds count as for a machine that was slowed down.
+ * Records stalls as disturbances of the machine. Without processor time no
+ * process can keep a time bound, so none applies during a stall.
  */
 export class StallWatch {
   private timer: NodeJS.Timeout | undefined;
@@ -32,8 +32,12 @@
 
   private tick(): void {
     const nowMs = this.nowMs();
-    if (nowMs - this.lastMs > STALLED_MS) {
-      const stall = this.history.disturb('machine', 'stalled', this.lastMs);
+    if (nowMs - this.lastMs > STALL_THRESHOLD_MS) {
+      const stall = this.history.recordDisturbance(
+        'machine',
+        'stalled',
+        this.lastMs,
+      );
       stall.toMs = nowMs;
     }
     this.lastMs = nowMs;
--- a/packages/soak/src/world/traffic.ts
+++ b/packages/soak/src/world/traffic.ts
@@ -1,4 +1,6 @@
-/** Callers that come at random and go where the balancer sends them. */
+/**
+ * Requests that arrive at random, over connections that the balancer assigns.
+ */
 
 import {setMaxListeners} from 'node:events';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -10,7 +12,7 @@
 import {RequestDraw, type DrawnRequest} from './request_draw.js';
 import {Rotation} from './rotation.js';
 
-/** What {@link Traffic} is made from. */
+/** Options of {@link Traffic}. */
 export interface TrafficOptions {
   readonly seed: number;
   readonly requestsPerS: number;
@@ -21,16 +23,20 @@
   readonly nowMs: () => number;
 }
 
-/** The others use the connection that they have, as long as it lasts. */
+/**
+ * Of the requests; the others use the open connection of their caller, if any.
+ */
 const NEW_CONNECTION_SHARE = 0.3;
-/** Of the new connections: the first request comes later. */
-const EARLY_SHARE = 0.2;
-/** As long as an instance may go on after it has been told to stop. */
-const LONGEST_EARLY_MS = 7500;
-/** After a long stream: its caller sends the next over the same connection. */
-const NEXT_AT_ONCE_SHARE = 0.5;
-
-/** Draws arrivals and sends them; owns the callers. */
+/** Of the new connections: their first request is sent after a delay. */
+const EARLY_CONNECTION_SHARE = 0.2;
+/** About as long as an instance may run on after it has been told to stop. */
+const MAX_FIRST_REQUEST_DELAY_MS = 7500;
+/**
+ * Of the long streams: the caller at once starts the next over its connection.
+ */
+const IMMEDIATE_NEXT_SHARE = 0.5;
+
+/** Draws arrivals and sends the requests; owns the callers. */
 export class Traffic {
   private readonly callers: Caller[];
   private readonly source: () => number;
@@ -39,7 +45,7 @@
   private readonly draw: RequestDraw;
   private readonly stopping = new AbortController();
   private timer: NodeJS.Timeout | undefined;
-  private readonly underWay = new Set<Promise<void>>();
+  private readonly inFlight = new Set<Promise<void>>();
 
   constructor(private readonly options: TrafficOptions) {
     const {seed, operator, nowMs, instances, requestsPerS} = options;
@@ -48,7 +54,7 @@
       () => new Caller(nowMs),
     );
     this.source = randomLcg(seed);
-    // Each caller that waits before its first request listens.
+    // Each caller that waits before its first request adds a listener.
     setMaxListeners(0, this.stopping.signal);
     this.draw = new RequestDraw({seed, source: this.source, operator, nowMs});
     this.rotation = new Rotation(instances);
@@ -62,12 +68,12 @@
     this.scheduleNext();
   }
 
-  /** Sends no more and waits for what is under way. */
+  /** Stops sending and waits for the requests in flight. */
   async stop(): Promise<void> {
     clearTimeout(this.timer);
     this.rotation.stop();
     this.stopping.abort();
-    await Promise.all(this.underWay);
+    await Promise.all(this.inFlight);
     for (const caller of this.callers) caller.close();
   }
 
@@ -75,8 +81,8 @@
     this.timer = setTimeout(() => {
       this.scheduleNext();
       const sending = this.sendOne();
-      this.underWay.add(sending);
-      void sending.finally(() => this.underWay.delete(sending));
+      this.inFlight.add(sending);
+      void sending.finally(() => this.inFlight.delete(sending));
     }, this.nextArrivalMs());
   }
 
@@ -85,30 +91,30 @@
     if (idle.length === 0) return;
     const caller = this.pick(idle);
     caller.isBusy = true;
-    if (await this.findConnection(caller)) await this.useConnection(caller);
-    else this.noteUnreached(caller);
+    if (await this.ensureConnection(caller)) await this.useConnection(caller);
+    else this.recordUnconnected(caller);
     caller.isBusy = false;
   }
 
-  /** Keeps the connection that it has or opens one. */
-  private async findConnection(caller: Caller): Promise<boolean> {
+  /** Keeps the caller's connection or opens one; false when it was refused. */
+  private async ensureConnection(caller: Caller): Promise<boolean> {
     const isKept =
       caller.hasConnection && this.source() >= NEW_CONNECTION_SHARE;
     if (isKept) return true;
     if (!(await this.connect(caller))) return false;
-    if (this.source() >= EARLY_SHARE) return true;
-    await this.waitBeforeFirst();
+    if (this.source() >= EARLY_CONNECTION_SHARE) return true;
+    await this.waitBeforeFirstRequest();
     return caller.hasConnection || this.connect(caller);
   }
 
-  private async waitBeforeFirst(): Promise<void> {
+  private async waitBeforeFirstRequest(): Promise<void> {
     const {signal} = this.stopping;
-    await pause(this.source() * LONGEST_EARLY_MS, undefined, {signal}).catch(
-      () => undefined,
-    );
+    await pause(this.source() * MAX_FIRST_REQUEST_DELAY_MS, undefined, {
+      signal,
+    }).catch(() => undefined);
   }
 
-  /** Where its connection is refused a caller opens one more, elsewhere. */
+  /** Tries a second instance when the first one refuses the connection. */
   private async connect(caller: Caller): Promise<boolean> {
     const candidates = this.rotation.candidatesFor(
       this.callers.indexOf(caller),
@@ -125,7 +131,7 @@
   private async useConnection(caller: Caller): Promise<void> {
     let drawn = this.draw.drawFor(caller.instance!);
     await this.send(caller, drawn);
-    while (await this.goesOn(caller, drawn)) {
+    while (await this.sendsNextAtOnce(caller, drawn)) {
       drawn = this.draw.drawLongStream(caller.instance!);
       await this.send(caller, drawn);
     }
@@ -136,17 +142,22 @@
     await caller.send(drawn);
   }
 
-  /** Whether a caller sends the next request the moment its stream has ended. */
-  private async goesOn(caller: Caller, drawn: DrawnRequest): Promise<boolean> {
+  /**
+   * Whether a caller sends the next request as soon as its stream has ended.
+   */
+  private async sendsNextAtOnce(
+    caller: Caller,
+    drawn: DrawnRequest,
+  ): Promise<boolean> {
     const {outcome} = drawn.request;
     if (!drawn.isLong || outcome?.kind !== 'answered') return false;
     if (this.stopping.signal.aborted) return false;
-    // Node.js frees the connection after it has told of the answer's end.
+    // Node.js frees the connection only after it has emitted the answer's end.
     await new Promise(done => setImmediate(done));
-    return caller.hasConnection && this.source() < NEXT_AT_ONCE_SHARE;
+    return caller.hasConnection && this.source() < IMMEDIATE_NEXT_SHARE;
   }
 
-  private noteUnreached(caller: Caller): void {
+  private recordUnconnected(caller: Caller): void {
     const {request} = this.draw.drawFor(caller.instance!);
     request.outcome = {kind: 'not_connected'};
     request.endedAtMs = request.sentAtMs;
--- a/packages/soak/src/world/world.ts
+++ b/packages/soak/src/world/world.ts
@@ -1,4 +1,4 @@
-/** Everything that one run of the soak consists of. */
+/** All processes and stand-ins of one run of the soak. */
 
 import {randomLcg} from 'd3-random';
 import {ProviderStandIn} from '@snipestage/platform_stand_ins/provider_stand_in.js';
@@ -17,7 +17,7 @@
 import {BOOKINGS, ENGINES, Operator} from './operator.js';
 import {networkOf} from './own_network.js';
 
-/** The size of a run. */
+/** Options of {@link World}. */
 export interface WorldOptions {
   readonly seed: number;
   readonly program: string;
@@ -35,7 +35,7 @@
 const SERVICE_CAPACITY = 12;
 const READY_WITHIN_MS = 60_000;
 const POLL_MS = 100;
-/** Beyond the instances, which are numbered from 1. */
+/** Last number of the stand-ins' address; those of instances count from 1. */
 const PLATFORM_HOST = 254;
 
 /** Owns the stand-ins and the processes. */
@@ -69,10 +69,10 @@
     await this.addEndpoints();
     await this.addInstances(storePort, `${this.platformHost}:${providerPort}`);
     await Promise.all(this.instances.map(instance => instance.start()));
-    for (const instance of this.instances) await this.untilReady(instance);
+    for (const instance of this.instances) await this.waitUntilReady(instance);
   }
 
-  /** Ends all that was started and gathers what was seen. */
+  /** Stops all processes and stand-ins and collects what they recorded. */
   async close(): Promise<void> {
     await Promise.all(this.instances.map(instance => instance.close()));
     for (const endpoint of this.endpoints) endpoint.close();
@@ -81,7 +81,7 @@
     this.history.dutyCalls.push(...this.provider.calls);
   }
 
-  /** Of the stand-ins and the ways to them. */
+  /** Address of the stand-ins and of the links to them. */
   private get platformHost(): string {
     return `${this.network}.${PLATFORM_HOST}`;
   }
@@ -107,20 +107,20 @@
     }
   }
 
-  /** Each has a loopback address of its own: they share fixed ports. */
+  /** Each instance has a loopback address and ports of its own. */
   private async addInstances(
     storePort: number,
     providerAddress: string,
   ): Promise<void> {
     for (let index = 0; index < this.options.instances; index += 1) {
       const dataCentre = DATA_CENTRES[index % this.options.dataCentres];
-      const storeWay = new Link({
+      const storeLink = new Link({
         host: this.platformHost,
         targetHost: this.platformHost,
         targetPort: storePort,
       });
-      // Its address is known once it listens.
-      await storeWay.start();
+      // The address of the link is known once it listens.
+      await storeLink.start();
       const [callersPort, readinessPort, peerPort] = await pickFreePorts(3);
       this.instances.push(
         new Instance({
@@ -130,7 +130,7 @@
             host: `${this.network}.${index + 1}`,
             callersPort,
             readinessPort,
-            storeAddress: storeWay.address,
+            storeAddress: storeLink.address,
             providerAddress,
             bounds: BOUNDS,
             dataCentres: this.dataCentres,
@@ -138,18 +138,18 @@
           },
           program: this.options.program,
           history: this.history,
-          storeWay,
+          storeLink,
           nowMs: this.nowMs,
         }),
       );
     }
   }
 
-  private async untilReady(instance: Instance): Promise<void> {
+  private async waitUntilReady(instance: Instance): Promise<void> {
     const startedAtMs = this.nowMs();
     while (!(await instance.isReady())) {
       if (this.nowMs() - startedAtMs > READY_WITHIN_MS) {
-        throw new Error(`${instance.id} does not get ready.`);
+        throw new Error(`${instance.id} did not get ready in time.`);
       }
       await new Promise(done => setTimeout(done, POLL_MS));
     }
