--- a/packages/stand_ins/src/client/stream_client.ts
+++ b/packages/stand_ins/src/client/stream_client.ts
@@ -1,4 +1,4 @@
-/** Calls a completion and notes what came back, for tests and load. */
+/** Requests a completion and records the response, for tests and load. */
 
 import {
   request as sendRequest,
@@ -12,7 +12,7 @@
   type StreamEvent,
 } from './stream_reader.js';
 
-/** One completion to ask for. */
+/** A completion request. */
 export interface StreamCall {
   /** Scheme, IP number and port. */
   readonly url: string;
@@ -21,22 +21,22 @@
   readonly body: object;
   readonly signal?: AbortSignal;
   readonly onToken?: (atMs: number) => void;
-  /** Connections to be used; one of its own when absent. */
+  /** Agent whose connections are used; a new connection when absent. */
   readonly agent?: Agent;
 }
 
-/** What came back. */
+/** The response to a {@link StreamCall}. */
 export interface StreamResult {
-  /** 0 when there was no answer. */
+  /** HTTP status; 0 when no response head arrived. */
   readonly status: number;
   readonly requestId: string | undefined;
   readonly text: string;
-  /** Ids that chunks carried, each once. */
+  /** Distinct ids of the chunks. */
   readonly chunkIds: readonly string[];
-  /** Instants of the monotonic clock at which tokens came. */
+  /** Arrival time of each token, on the monotonic clock. */
   readonly tokenAtMs: readonly number[];
   readonly usage: StreamChunk['usage'];
-  /** Whether `[DONE]` came. */
+  /** Whether `[DONE]` arrived. */
   readonly isWhole: boolean;
   readonly error: StreamChunk['error'] | undefined;
   /** Code of a failed connection, such as `ECONNRESET`. */
@@ -47,7 +47,7 @@
 const DEFAULT_PATH = '/v1/chat/completions';
 
 /**
- * Streams one completion; never throws.
+ * Streams one completion. Never throws: failures are reported in the result.
  *
  * @example
  * const result = await streamCompletion({
@@ -63,7 +63,7 @@
     const response = await openStream(call);
     collected.begin(response);
     response.setEncoding('utf8');
-    for await (const piece of response) collected.take(piece as string);
+    for await (const piece of response) collected.addPiece(piece as string);
   } catch (error) {
     collected.fail(error);
   }
@@ -92,7 +92,7 @@
   });
 }
 
-/** Gathers the events of one stream. */
+/** Collects the events of one stream. */
 class StreamCollector {
   private readonly reader = new StreamReader();
   private readonly onToken: ((atMs: number) => void) | undefined;
@@ -117,12 +117,12 @@
     this.requestId = Array.isArray(requestId) ? requestId[0] : requestId;
   }
 
-  take(piece: string): void {
+  addPiece(piece: string): void {
     if (this.status !== 200) {
       this.plainBody += piece;
       return;
     }
-    for (const event of this.reader.take(piece)) this.takeEvent(event);
+    for (const event of this.reader.addPiece(piece)) this.addEvent(event);
   }
 
   fail(error: unknown): void {
@@ -147,7 +147,7 @@
     };
   }
 
-  private takeEvent(event: StreamEvent): void {
+  private addEvent(event: StreamEvent): void {
     if (event.kind === 'done') {
       this.isWhole = true;
       return;
--- a/packages/stand_ins/src/client/stream_reader.ts
+++ b/packages/stand_ins/src/client/stream_reader.ts
@@ -1,4 +1,4 @@
-/** Reads OpenAI-compatible event streams. */
+/** Parses OpenAI-compatible event streams. */
 
 /** A chunk of a chat or text completion, or a refusal. */
 export interface StreamChunk {
@@ -22,18 +22,18 @@
 const DATA_PREFIX = 'data: ';
 const DONE = '[DONE]';
 
-/** Puts events together from pieces of any size. */
+/** Assembles events from pieces of any size. */
 export class StreamReader {
   private rest = '';
 
   /**
-   * Takes a piece of the body.
+   * Adds a piece of the body.
    *
    * @returns the events that it completes.
    * @example
-   * for (const event of reader.take(piece)) show(event);
+   * for (const event of reader.addPiece(piece)) show(event);
    */
-  take(piece: string): StreamEvent[] {
+  addPiece(piece: string): StreamEvent[] {
     const events = (this.rest + piece).split('\n\n');
     this.rest = events.pop() ?? '';
     return events
@@ -43,7 +43,7 @@
 }
 
 /**
- * The text of a chunk, in either format.
+ * Returns the text of a chunk, in chat or text format; empty when it has none.
  *
  * @example
  * text += textOfChunk(event.chunk);
--- a/packages/stand_ins/src/engine/batch.ts
+++ b/packages/stand_ins/src/engine/batch.ts
@@ -1,25 +1,25 @@
-/** Continuous batching: each step gives every running sequence one token. */
+/** Continuous batching: a step produces a token of every running sequence. */
 
 import type {Sequence} from './sequence.js';
 
-/** How fast a batch is. */
+/** Size and speed of a {@link Batch}. */
 export interface BatchOptions {
   readonly maxBatch?: number;
   /** Time between tokens of a sequence that runs alone. */
   readonly betweenTokensMs?: number;
-  /** Added to it for each further sequence that runs. */
+  /** Added to `betweenTokensMs` for each further running sequence. */
   readonly betweenTokensPerRunningMs?: number;
-  /** Time to work through one prompt token that is not cached. */
+  /** Time to prefill one prompt token that is not cached. */
   readonly prefillPerTokenMs?: number;
 }
 
-/** What the batch asks and tells. */
+/** Callbacks of a {@link Batch}. */
 export interface BatchHooks {
-  /** Prompt tokens to be worked through when a sequence is taken in. */
+  /** Returns the prompt tokens to prefill when a sequence starts to run. */
   readonly countPrefillTokens: (sequence: Sequence) => number;
   readonly onToken: (sequence: Sequence) => void;
   readonly onFinished: (sequence: Sequence) => void;
-  /** A sequence takes its engine down; the batch must be cleared. */
+  /** A sequence crashes its engine; the hook must clear the batch. */
   readonly onPoison: () => void;
 }
 
@@ -28,9 +28,9 @@
 const DEFAULT_PER_RUNNING_MS = 0.5;
 const DEFAULT_PREFILL_MS = 0.05;
 
-/** Waiting sequences by priority, then arrival; running ones in steps. */
+/** Queues sequences by priority, then arrival, and runs them in steps. */
 export class Batch {
-  /** Multiplies every step, for an engine that has become slow. */
+  /** Multiplies the duration of each step, to simulate a slow engine. */
   slowFactor = 1;
   private readonly options: Required<BatchOptions>;
   private readonly hooks: BatchHooks;
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Puts a sequence behind those of its priority; 0 goes first.
+   * Queues a sequence behind those of its priority; priority 0 runs first.
    *
    * @example
    * batch.add(sequence);
@@ -73,14 +73,14 @@
     if (this.timer === undefined) this.scheduleStep();
   }
 
-  /** Takes a sequence out; false when it was not there. */
+  /** Removes a sequence; returns false when it is not in the batch. */
   remove(sequence: Sequence): boolean {
     const at = this.waitingSequences.indexOf(sequence);
     if (at >= 0) this.waitingSequences.splice(at, 1);
     return this.runningSequences.delete(sequence) || at >= 0;
   }
 
-  /** Drops all, as a crash does. */
+  /** Removes and returns all sequences and stops stepping, as a crash does. */
   clear(): Sequence[] {
     clearTimeout(this.timer);
     this.timer = undefined;
@@ -91,7 +91,7 @@
   }
 
   private scheduleStep(): void {
-    const prefillMs = this.takeIn() * this.options.prefillPerTokenMs;
+    const prefillMs = this.admitWaiting() * this.options.prefillPerTokenMs;
     if (this.running === 0) {
       this.timer = undefined;
       return;
@@ -103,7 +103,7 @@
     this.timer = setTimeout(() => this.step(), stepMs * this.slowFactor);
   }
 
-  private takeIn(): number {
+  private admitWaiting(): number {
     let prefillTokens = 0;
     while (this.running < this.options.maxBatch) {
       const next = this.waitingSequences.shift();
--- a/packages/stand_ins/src/engine/completion.ts
+++ b/packages/stand_ins/src/engine/completion.ts
@@ -1,11 +1,12 @@
 /**
- * The text that engine stand-ins produce. It is worked out from the prompt, so
- * that an answer to another prompt, a gap or a doubled token shows in the text.
+ * The text that engine stand-ins produce. It is derived from the prompt, so
+ * that an answer to another prompt, a missing or a duplicated token shows in
+ * the text.
  */
 
 import {createHash} from 'node:crypto';
 
-/** The fields of an OpenAI-compatible request that matter here. */
+/** The fields of an OpenAI-compatible request that engine stand-ins read. */
 export interface CompletionRequest {
   readonly model: string;
   readonly stream?: boolean;
@@ -17,11 +18,11 @@
   }>;
 }
 
-/** What a request asks for. */
+/** The prompt of a request and where its completion starts. */
 export interface Prompt {
-  /** The prompt without tokens that were produced before. */
+  /** The prompt without tokens that were produced earlier. */
   readonly text: string;
-  /** Index of the first token to produce; above 0 when it is continued. */
+  /** Index of the first token to produce; above 0 for a continuation. */
   readonly firstIndex: number;
 }
 
@@ -30,9 +31,9 @@
 const LAST_INDEX = /-(\d+)$/;
 
 /**
- * Finds the prompt. Where the request ends in tokens that were produced for the
- * same prompt (a trailing assistant message, or the end of `prompt`), it is
- * continued after them.
+ * Extracts the prompt. If the request ends in tokens that were produced for the
+ * same prompt (a trailing assistant message, or the end of `prompt`), the
+ * completion continues after them.
  *
  * @example
  * promptOf({model: 'repair', prompt: 'Patch a tent'}).text; // 'Patch a tent'
@@ -53,7 +54,7 @@
 }
 
 /**
- * The token at an index; tokens joined make the completion.
+ * Returns the token at an index; the completion is the tokens joined.
  *
  * @example
  * tokenAt('Patch a tent', 0);
@@ -62,13 +63,13 @@
   return tokenWithTag(tagOf(prompt), index);
 }
 
-/** As {@link tokenAt}, for a tag from {@link tagOf}. */
+/** Like {@link tokenAt}, with the prompt's tag from {@link tagOf}. */
 export function tokenWithTag(tag: string, index: number): string {
   return index === 0 ? `${tag}-0` : ` ${tag}-${index}`;
 }
 
 /**
- * The whole completion that a caller must get.
+ * Returns the complete text that a caller must receive.
  *
  * @example
  * t.is(answer, expectedCompletion('user: Patch a tent', 12));
@@ -81,7 +82,7 @@
 }
 
 /**
- * Messages as one text, `<role>: <content>` each on a line.
+ * Joins messages into one text with a line `<role>: <content>` for each.
  *
  * @example
  * textOf([{role: 'user', content: 'Hi'}]); // 'user: Hi'
@@ -94,12 +95,12 @@
     .join('\n');
 }
 
-/** The mark that all tokens for one prompt carry. */
+/** Returns the tag contained in every token produced for a prompt. */
 export function tagOf(prompt: string): string {
   return createHash('sha256').update(prompt).digest('hex').slice(0, TAG_LENGTH);
 }
 
-/** Words stand in for the tokens of a prompt. */
+/** Counts the tokens of a prompt; each word counts as one. */
 export function countTokens(text: string): number {
   return text.split(/\s+/).filter(word => word !== '').length;
 }
--- a/packages/stand_ins/src/engine/engine_control.ts
+++ b/packages/stand_ins/src/engine/engine_control.ts
@@ -1,9 +1,9 @@
-/** What an engine stand-in can be told by its control call. */
+/** The control call of engine stand-ins. */
 
 import {z} from 'zod';
 import {EVERY_AREA, faultSchema} from '../http/faults.js';
 
-/** Areas of an engine's interface that can fail apart from each other. */
+/** Areas of an engine's interface that can fail independently. */
 export const ENGINE_AREAS = [
   EVERY_AREA,
   'completions',
@@ -24,17 +24,23 @@
   cacheEventLagMs: z.number().min(0).optional(),
   cacheEventGapEvery: z.int().min(0).optional(),
   checksFencing: z.boolean().optional(),
-  /** The next streams stop for good after some tokens, connection open. */
+  /**
+   * The next `count` streams stop permanently after `afterTokens` tokens and
+   * keep their connection open.
+   */
   hang: z
     .strictObject({afterTokens: z.int().min(0), count: z.int().positive()})
     .optional(),
-  /** So many next requests get the answer to the request before them. */
+  /** Number of next requests that get the answer to the previous request. */
   crossNext: z.int().positive().optional(),
-  /** The next answers begin late. */
+  /** The next `count` answers begin `delayMs` late. */
   late: z
     .strictObject({delayMs: z.number().min(0), count: z.int().positive()})
     .optional(),
-  /** Resets everything and comes back, empty, after a while. */
+  /**
+   * Crashes the engine; it restarts after `restartAfterMs` with no sequences
+   * and an empty cache, or stays down when that is null.
+   */
   crash: z
     .strictObject({restartAfterMs: z.number().min(0).nullable()})
     .optional(),
--- a/packages/stand_ins/src/engine/order_book.ts
+++ b/packages/stand_ins/src/engine/engine_orders.ts
@@ -1,4 +1,4 @@
-/** Orders to an engine stand-in, checked against old fencing tokens or not. */
+/** Orders to an engine stand-in, with an optional check of fencing tokens. */
 
 import type {Answer} from '../http/stand_in_server.js';
 
@@ -10,15 +10,15 @@
   readonly model?: string;
 }
 
-/** Orders by arrival and what they led to. */
-export class OrderBook {
+/** Carries out orders, and records them and the models that are loaded. */
+export class EngineOrders {
   checksFencing = true;
   readonly carriedOut: EngineOrder[] = [];
   readonly models = new Set<string>();
   private highestToken = 0;
 
-  /** One id is carried out once. */
-  take(order: EngineOrder): Answer {
+  /** Answers an order; orders with the same id are carried out only once. */
+  submit(order: EngineOrder): Answer {
     if (this.checksFencing && order.fencingToken < this.highestToken) {
       return {status: 409, body: {currentFencingToken: this.highestToken}};
     }
--- a/packages/stand_ins/src/engine/engine_stand_in.test.ts
+++ b/packages/stand_ins/src/engine/engine_stand_in.test.ts
@@ -34,7 +34,7 @@
   });
 }
 
-test('a stream has one token a chunk, its id, usage and an end', async t => {
+test('a stream has one token per chunk, the request id, usage and `[DONE]`', async t => {
   const engine = await startEngine();
   const result = await ask(engine, 'attempt-1');
   t.is(result.requestId, 'attempt-1');
@@ -63,7 +63,7 @@
   await engine.stop();
 });
 
-test('a stream that broke is resumed from an offset', async t => {
+test('a broken stream can be resumed from an offset', async t => {
   const engine = await startEngine();
   const abort = new AbortController();
   let tokens = 0;
@@ -125,7 +125,7 @@
   await engine.stop();
 });
 
-test('a poison request resets every stream, and the engine comes back', async t => {
+test('a poison request resets every stream, and the engine restarts', async t => {
   const engine = await startEngine({restartAfterMs: 1});
   const innocent = ask(engine, 'innocent', {max_tokens: 100_000});
   while (engine.counters.tokensProduced < 1) await new Promise(setImmediate);
@@ -151,7 +151,7 @@
   await engine.stop();
 });
 
-test('an order with an old fencing token is refused, or not', async t => {
+test('an order with an old fencing token is refused only if tokens are checked', async t => {
   const engine = await startEngine();
   const order = (id: string, fencingToken: number) =>
     got.post(`${engine.url}/v1/orders`, {
@@ -165,7 +165,7 @@
   await engine.stop();
 });
 
-test('a wrong control call is told and changes nothing', async t => {
+test('an invalid control call is answered 400', async t => {
   const engine = await startEngine();
   const answer = await got.post(`${engine.url}/control`, {
     json: {slowfactor: 3},
--- a/packages/stand_ins/src/engine/engine_stand_in.ts
+++ b/packages/stand_ins/src/engine/engine_stand_in.ts
@@ -1,4 +1,4 @@
-/** Takes a model engine's place: OpenAI-compatible streams from a batch. */
+/** A stand-in for a model engine: OpenAI-compatible streams from a batch. */
 
 import type {ServerResponse} from 'node:http';
 import {parseJson} from '../http/exchange.js';
@@ -14,7 +14,7 @@
 import {engineControlSchema, type EngineControl} from './engine_control.js';
 import {EngineCounters} from './engine_counters.js';
 import {HeldSequences} from './held_sequences.js';
-import {OrderBook, type EngineOrder} from './order_book.js';
+import {EngineOrders, type EngineOrder} from './engine_orders.js';
 import {PrefixCache, type PrefixCacheOptions} from './prefix_cache.js';
 import type {CompletionFormat, Sequence} from './sequence.js';
 import {
@@ -22,15 +22,15 @@
   type SequenceFactoryOptions,
 } from './sequence_factory.js';
 
-/** How an engine stand-in starts. */
+/** Options of {@link EngineStandIn}. */
 export interface EngineStandInOptions
   extends ListenOptions, SequenceFactoryOptions {
   readonly batch?: BatchOptions;
   readonly prefixCache?: PrefixCacheOptions;
   readonly loadLagMs?: number;
-  /** How long a stream can be resumed after its connection has gone. */
+  /** How long a stream can be resumed after its connection has closed. */
   readonly holdForMs?: number;
-  /** Time from a crash by a poison request to the restart; null stays down. */
+  /** Time from a poison request's crash to the restart; null stays down. */
   readonly restartAfterMs?: number | null;
 }
 
@@ -40,7 +40,7 @@
 /** One engine with one batch. */
 export class EngineStandIn extends StandInServer {
   readonly counters = new EngineCounters();
-  readonly orders = new OrderBook();
+  readonly orders = new EngineOrders();
   readonly batch: Batch;
   private readonly cache: PrefixCache;
   private readonly factory: SequenceFactory;
@@ -82,7 +82,8 @@
   }
 
   /**
-   * Resets every connection, forgets everything and comes back later.
+   * Resets every connection, drops all sequences and the cache, and restarts
+   * after a while.
    *
    * @param restartAfterMs null to stay down.
    * @example
@@ -96,14 +97,14 @@
     this.attached.clear();
     this.held.dropAll();
     this.cache.clear();
-    this.noteLoad();
+    this.updateLoad();
     await super.stop();
     if (restartAfterMs === null) return;
     this.restartTimer = setTimeout(() => void this.start(), restartAfterMs);
   }
 
   /**
-   * Changes its speed, its faults and what it tells.
+   * Changes the engine's speed, its faults and its reports.
    *
    * @example
    * engine.control({slowFactor: 5, loadLagMs: 2000});
@@ -124,7 +125,7 @@
     }
   }
 
-  protected override obey(command: unknown): void {
+  protected override applyControl(command: unknown): void {
     this.control(engineControlSchema.parse(command));
   }
 
@@ -172,7 +173,7 @@
       method: 'post',
       path: '/v1/orders',
       area: 'orders',
-      run: ({body}) => this.orders.take(parseJson<EngineOrder>(body)),
+      run: ({body}) => this.orders.submit(parseJson<EngineOrder>(body)),
     });
   }
 
@@ -211,7 +212,7 @@
       setTimeout(() => this.attach(sequence, call.response, 0), lateMs);
     }
     this.batch.add(sequence);
-    this.noteLoad();
+    this.updateLoad();
   }
 
   private attach(
@@ -220,16 +221,19 @@
     offset: number,
   ): void {
     if (response.destroyed) {
-      this.lose(sequence);
+      this.holdDetached(sequence);
       return;
     }
     this.attached.set(sequence.options.requestId, sequence);
     sequence.attach(response, offset);
-    response.once('close', () => this.lose(sequence));
+    response.once('close', () => this.holdDetached(sequence));
   }
 
-  /** Its caller has hung up: it stops, and may be resumed for a while. */
-  private lose(sequence: Sequence): void {
+  /**
+   * Removes a sequence whose connection has closed from the batch and holds it
+   * for a while so that it can be resumed.
+   */
+  private holdDetached(sequence: Sequence): void {
     const {requestId} = sequence.options;
     sequence.detach();
     if (this.attached.get(requestId) === sequence) {
@@ -237,7 +241,7 @@
     }
     if (!this.batch.remove(sequence)) return;
     this.held.hold(sequence);
-    this.noteLoad();
+    this.updateLoad();
   }
 
   private resume(call: Call): Answer | undefined {
@@ -251,7 +255,7 @@
     this.batch.remove(sequence);
     if (!sequence.isFinished) this.batch.add(sequence);
     this.attach(sequence, call.response, offset);
-    this.noteLoad();
+    this.updateLoad();
     return undefined;
   }
 
@@ -264,22 +268,22 @@
     this.attached.delete(requestId);
     if (this.batch.remove(sequence)) this.counters.countCancelled(sequence);
     sequence.endEarly();
-    this.noteLoad();
+    this.updateLoad();
   }
 
   private finish(sequence: Sequence): void {
     this.counters.finished += 1;
     this.attached.delete(sequence.options.requestId);
-    this.noteLoad();
+    this.updateLoad();
   }
 
   private countPrefillTokens(sequence: Sequence): number {
     const {prompt, promptTokens} = sequence.options;
     if (sequence.produced > 0) return 0;
-    return promptTokens - this.cache.take(prompt, Date.now());
+    return promptTokens - this.cache.touch(prompt, Date.now());
   }
 
-  private noteLoad(): void {
+  private updateLoad(): void {
     const {running, waiting} = this.batch;
     this.load.set({running, waiting}, Date.now());
   }
--- a/packages/stand_ins/src/engine/held_sequences.ts
+++ b/packages/stand_ins/src/engine/held_sequences.ts
@@ -1,16 +1,16 @@
-/** Sequences whose connection has gone and which may still be resumed. */
+/** Sequences whose connection has closed and which can still be resumed. */
 
 import type {Sequence} from './sequence.js';
 
-/** Each is kept for a short while, then given up. */
+/** Holds each sequence for a limited time, then drops it. */
 export class HeldSequences {
   private readonly holdForMs: number;
-  private readonly giveUp: (sequence: Sequence) => void;
+  private readonly onDropped: (sequence: Sequence) => void;
   private readonly held = new Map<string, [Sequence, NodeJS.Timeout]>();
 
-  constructor(holdForMs: number, giveUp: (sequence: Sequence) => void) {
+  constructor(holdForMs: number, onDropped: (sequence: Sequence) => void) {
     this.holdForMs = holdForMs;
-    this.giveUp = giveUp;
+    this.onDropped = onDropped;
   }
 
   hold(sequence: Sequence): void {
@@ -21,7 +21,7 @@
     this.held.set(requestId, [sequence, timer]);
   }
 
-  /** Hands it out to be resumed. */
+  /** Removes and returns a sequence that is to be resumed. */
   take(requestId: string): Sequence | undefined {
     const entry = this.held.get(requestId);
     if (entry === undefined) return undefined;
@@ -30,10 +30,10 @@
     return entry[0];
   }
 
-  /** Gives it up now; false when it is not held. */
+  /** Drops a sequence now; returns false when it is not held. */
   drop(requestId: string): boolean {
     const sequence = this.take(requestId);
-    if (sequence !== undefined) this.giveUp(sequence);
+    if (sequence !== undefined) this.onDropped(sequence);
     return sequence !== undefined;
   }
 
--- a/packages/stand_ins/src/engine/output_length.ts
+++ b/packages/stand_ins/src/engine/output_length.ts
@@ -1,14 +1,15 @@
-/** Lengths of answers, which nobody knows beforehand. */
+/** Draws lengths of answers, which callers can't predict. */
 
 import {createHash} from 'node:crypto';
 import {exponential, seededRandom} from '../random.js';
 
-const LONGEST_PER_MEAN = 8;
+const MAX_LENGTH_PER_MEAN = 8;
 const MEAN_MARK = /<<mean:(\d+)>>/;
 
 /**
- * Draws the length of an answer: exponential, at least one token. One prompt
- * and seed give one length, at whichever engine it runs.
+ * Draws the length of an answer in tokens: exponential, at least 1 and at most
+ * 8 times the mean. The same prompt, seed and mean give the same length at
+ * every engine.
  *
  * @example
  * drawLength('user: Patch a tent', 42, 32);
@@ -16,11 +17,11 @@
 export function drawLength(prompt: string, seed: number, mean: number): number {
   const digest = createHash('sha256').update(`${seed}\n${prompt}`).digest();
   const drawn = exponential(seededRandom(digest.readInt32BE(0)), mean);
-  return Math.max(1, Math.min(Math.round(drawn), mean * LONGEST_PER_MEAN));
+  return Math.max(1, Math.min(Math.round(drawn), mean * MAX_LENGTH_PER_MEAN));
 }
 
 /**
- * A mark in a prompt that sets the mean length of answers to such prompts.
+ * Returns a mark that sets the mean length of answers to the prompt it is in.
  *
  * @example
  * const prompt = `${question} ${meanMark(200)}`;
@@ -29,7 +30,7 @@
   return `<<mean:${mean}>>`;
 }
 
-/** The mean that a prompt's mark sets, if it has one. */
+/** Returns the mean that a prompt's mark sets; `undefined` without a mark. */
 export function markedMean(prompt: string): number | undefined {
   const digits = MEAN_MARK.exec(prompt)?.[1];
   return digits === undefined ? undefined : Number(digits);
--- a/packages/stand_ins/src/engine/prefix_cache.ts
+++ b/packages/stand_ins/src/engine/prefix_cache.ts
@@ -1,16 +1,16 @@
-/** The bounded cache of prompt prefixes, with events that come late. */
+/** A bounded cache of prompt prefixes that publishes its events with a lag. */
 
 import {createHash} from 'node:crypto';
 
-/** How the cache is built and how well it tells of itself. */
+/** Size of a {@link PrefixCache}, and lag and gaps of its events. */
 export interface PrefixCacheOptions {
   readonly capacityBlocks?: number;
   readonly eventLagMs?: number;
-  /** Every so manyth event is never told; 0 tells all. */
+  /** Every n-th event is never published; 0 publishes all. */
   readonly eventGapEvery?: number;
 }
 
-/** As `GET /v1/cache-events` tells it. */
+/** An event as returned by `GET /v1/cache-events`. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: 'stored' | 'evicted';
@@ -25,11 +25,12 @@
 const HASH_LENGTH = 16;
 const DEFAULT_CAPACITY_BLOCKS = 4096;
 const DEFAULT_EVENT_LAG_MS = 200;
-const MOST_EVENTS_KEPT = 2000;
+const MAX_EVENT_COUNT = 2000;
 
 /**
- * The hash of each prefix of a prompt that is whole blocks long, shortest
- * first: SHA-256 over the hash before and the block's words, cut to 16 digits.
+ * Returns the hash of each prefix of a prompt that consists of whole blocks,
+ * shortest first: SHA-256 over the previous hash, a line break and the block's
+ * words, cut to 16 digits.
  *
  * @example
  * const [shortest] = prefixHashesOf(prompt);
@@ -47,12 +48,12 @@
   return hashes;
 }
 
-/** Least recently used blocks go first. */
+/** Evicts the least recently used blocks first. */
 export class PrefixCache {
   eventLagMs: number;
   eventGapEvery: number;
   private readonly capacityBlocks: number;
-  /** In order of use, the latest last. */
+  /** In order of use, the most recent last. */
   private readonly blocks = new Set<string>();
   private events: TimedEvent[] = [];
   private sequence = 0;
@@ -68,13 +69,13 @@
   }
 
   /**
-   * Takes a prompt in.
+   * Stores the blocks of a prompt and marks them as recently used.
    *
-   * @returns how many of its tokens were cached before.
+   * @returns how many of its tokens were already cached.
    * @example
-   * const misses = tokens - cache.take(prompt, Date.now());
+   * const misses = tokens - cache.touch(prompt, Date.now());
    */
-  take(prompt: string, nowEpochMs: number): number {
+  touch(prompt: string, nowEpochMs: number): number {
     let cachedBlocks = 0;
     let isPrefixCached = true;
     for (const hash of prefixHashesOf(prompt)) {
@@ -88,13 +89,13 @@
     return cachedBlocks * BLOCK_TOKENS;
   }
 
-  /** Empties it, as a crash does; nothing tells of that. */
+  /** Empties the cache, as a crash does, without publishing any event. */
   clear(): void {
     this.blocks.clear();
     this.events = [];
   }
 
-  /** Events after a sequence number that are old enough to be told. */
+  /** Returns events after a sequence number that are at least the lag old. */
   eventsAfter(sequence: number, nowEpochMs: number): CacheEvent[] {
     return this.events
       .filter(event => event.sequence > sequence)
@@ -124,6 +125,6 @@
       this.eventGapEvery > 0 && this.sequence % this.eventGapEvery === 0;
     if (isGap) return;
     this.events.push({sequence: this.sequence, kind, prefixHash, atEpochMs});
-    if (this.events.length > MOST_EVENTS_KEPT) this.events.shift();
+    if (this.events.length > MAX_EVENT_COUNT) this.events.shift();
   }
 }
--- a/packages/stand_ins/src/engine/sequence.ts
+++ b/packages/stand_ins/src/engine/sequence.ts
@@ -1,12 +1,12 @@
-/** One request at an engine stand-in, from arrival to its last token. */
+/** A request at an engine stand-in, from its arrival to its last token. */
 
 import type {ServerResponse} from 'node:http';
 import {tagOf, tokenWithTag} from './completion.js';
 
-/** The kinds of answer that an engine streams. */
+/** Formats of the answers that an engine streams. */
 export type CompletionFormat = 'chat' | 'text';
 
-/** What a {@link Sequence} is made from. */
+/** Options of {@link Sequence}. */
 export interface SequenceOptions {
   readonly requestId: string;
   readonly model: string;
@@ -14,31 +14,31 @@
   readonly prompt: string;
   readonly promptTokens: number;
   readonly firstIndex: number;
-  /** Tokens to produce. */
+  /** Number of tokens to produce. */
   readonly length: number;
-  /** 0 goes first. */
+  /** 0 runs first. */
   readonly priority: number;
-  /** Tokens after which it crashes its engine; never when absent. */
+  /** Number of tokens after which it crashes its engine; never when absent. */
   readonly crashAfterTokens?: number;
-  /** Tokens after which it stops for good; never when absent. */
+  /** Number of tokens after which it hangs permanently; never when absent. */
   readonly hangAfterTokens?: number;
-  /** Whose answer it streams instead of its own, by mistake. */
+  /** The request whose answer it streams instead of its own, as a fault. */
   readonly answersFor?: Pick<SequenceOptions, 'requestId' | 'prompt'>;
 }
 
-/** Produces its tokens one by one into the connection that it has, if any. */
+/** Produces tokens one by one and streams them to its connection, if any. */
 export class Sequence {
   readonly options: SequenceOptions;
   /** Tokens produced so far. */
   produced = 0;
   private readonly tag: string;
-  private readonly shownId: string;
+  private readonly sentId: string;
   private response: ServerResponse | undefined;
 
   constructor(options: SequenceOptions) {
     this.options = options;
     this.tag = tagOf((options.answersFor ?? options).prompt);
-    this.shownId = (options.answersFor ?? options).requestId;
+    this.sentId = (options.answersFor ?? options).requestId;
   }
 
   get isFinished(): boolean {
@@ -53,13 +53,13 @@
     return this.produced === this.options.crashAfterTokens;
   }
 
-  /** Streams to the response, beginning with the tokens from `offset` on. */
+  /** Streams to the response, starting with the tokens from `offset` on. */
   attach(response: ServerResponse, offset = 0): void {
     this.response = response;
     response.writeHead(200, {
       'Content-Type': 'text/event-stream',
       'Cache-Control': 'no-store',
-      'X-Request-Id': this.shownId,
+      'X-Request-Id': this.sentId,
     });
     response.flushHeaders();
     for (let index = offset; index < this.produced; index++) {
@@ -109,7 +109,7 @@
   private envelope(): object {
     const {format, model} = this.options;
     return {
-      id: this.shownId,
+      id: this.sentId,
       object: format === 'chat' ? 'chat.completion.chunk' : 'text_completion',
       created: 0,
       model,
--- a/packages/stand_ins/src/engine/sequence_factory.ts
+++ b/packages/stand_ins/src/engine/sequence_factory.ts
@@ -1,4 +1,4 @@
-/** Makes sequences from requests, with the faults that are to hit them. */
+/** Makes sequences from requests and assigns the injected faults to them. */
 
 import {randomUUID} from 'node:crypto';
 import {headerOf, parseJson} from '../http/exchange.js';
@@ -13,16 +13,16 @@
   type SequenceOptions,
 } from './sequence.js';
 
-/** How answers are made. */
+/** Options of {@link SequenceFactory}. */
 export interface SequenceFactoryOptions {
   readonly seed?: number;
   /** Mean length of answers whose request sets no `max_tokens`. */
   readonly meanOutputTokens?: number;
-  /** A prompt that holds it crashes the engine. */
+  /** A prompt that contains this text crashes the engine. */
   readonly poisonMark?: string;
 }
 
-/** A sequence and how long its answer is held back. */
+/** A sequence and the delay until its answer begins. */
 export interface MadeSequence {
   readonly sequence: Sequence;
   readonly lateMs: number;
@@ -32,9 +32,9 @@
 const DEFAULT_MEAN_OUTPUT_TOKENS = 32;
 const LOWEST_PRIORITY = 1000;
 /** A poison request crashes its engine after 0 to 3 tokens. */
-const POISON_TOKENS = 4;
+const CRASH_AFTER_TOKENS_BOUND = 4;
 
-/** Counts down the faults that hit only the next requests. */
+/** Makes sequences and counts down faults that affect only the next ones. */
 export class SequenceFactory {
   private readonly options: SequenceFactoryOptions;
   private readonly random: RandomSource;
@@ -58,11 +58,13 @@
   make(call: Call, format: CompletionFormat): MadeSequence {
     const options: SequenceOptions = {
       ...this.optionsFor(call, format),
-      answersFor: this.takeCrossed(),
-      hangAfterTokens: takeOne(this.hang) ? this.hang.afterTokens : undefined,
+      answersFor: this.consumeCrossed(),
+      hangAfterTokens: consumeOne(this.hang)
+        ? this.hang.afterTokens
+        : undefined,
     };
     this.previous = options;
-    const lateMs = takeOne(this.late) ? this.late.delayMs : 0;
+    const lateMs = consumeOne(this.late) ? this.late.delayMs : 0;
     return {sequence: new Sequence(options), lateMs};
   }
 
@@ -90,17 +92,17 @@
   private drawCrash(prompt: string): number | undefined {
     const mark = this.options.poisonMark ?? DEFAULT_POISON_MARK;
     if (!prompt.includes(mark)) return undefined;
-    return Math.floor(this.random() * POISON_TOKENS);
+    return Math.floor(this.random() * CRASH_AFTER_TOKENS_BOUND);
   }
 
-  private takeCrossed(): SequenceOptions | undefined {
+  private consumeCrossed(): SequenceOptions | undefined {
     if (this.crossNext === 0 || this.previous === undefined) return undefined;
     this.crossNext -= 1;
     return this.previous;
   }
 }
 
-function takeOne(fault: {count: number}): boolean {
+function consumeOne(fault: {count: number}): boolean {
   if (fault.count === 0) return false;
   fault.count -= 1;
   return true;
--- a/packages/stand_ins/src/http/exchange.ts
+++ b/packages/stand_ins/src/http/exchange.ts
@@ -1,12 +1,12 @@
-/** Reads requests and writes JSON answers. */
+/** Reads requests and writes JSON responses. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-/** A body that is no JSON. */
+/** Thrown for a body that is not valid JSON. */
 export class BadBodyError extends Error {}
 
 /**
- * Reads a body whole.
+ * Reads a body to its end.
  *
  * @example
  * const bytes = await readBody(request);
@@ -20,7 +20,7 @@
 /**
  * Parses a JSON body; an empty one is `{}`.
  *
- * @throws BadBodyError when it is no JSON.
+ * @throws BadBodyError when it is not valid JSON.
  * @example
  * const {keys} = parseJson<{keys: string[]}>(body);
  */
@@ -34,7 +34,8 @@
 }
 
 /**
- * Ends the exchange with a JSON body.
+ * Sends a JSON response, unless the response has ended or its connection has
+ * closed.
  *
  * @example
  * sendJson(response, 409, {reason: 'superseded'});
@@ -54,7 +55,8 @@
 }
 
 /**
- * A request header as one string; absent as `undefined`.
+ * Returns a request header, the first value if it has several; `undefined` when
+ * it is absent.
  *
  * @example
  * const id = headerOf(request, 'x-request-id');
--- a/packages/stand_ins/src/http/faults.ts
+++ b/packages/stand_ins/src/http/faults.ts
@@ -1,14 +1,14 @@
-/** Faults that a stand-in shows on command, by area of its interface. */
+/** Faults that can be injected into a stand-in, by area of its interface. */
 
 import {z} from 'zod';
 
 /**
- * - `ok`: none.
+ * - `ok`: no fault.
  * - `down`: the connection is reset before anything takes effect.
  * - `silent`: the request is read and never answered.
- * - `slow`: it is answered after `delayMs`.
- * - `error`: 503, without effect.
- * - `lose_answer`: it takes effect, then the connection is reset.
+ * - `slow`: the request is carried out and answered after `delayMs`.
+ * - `error`: the answer is 503, without effect.
+ * - `lose_answer`: the request takes effect, then the connection is reset.
  */
 export const FAULT_MODES = [
   'ok',
@@ -25,25 +25,25 @@
 export const faultSchema = z.strictObject({
   mode: z.enum(FAULT_MODES),
   delayMs: z.number().min(0).optional(),
-  /** How many calls it hits; all, until it is changed, when absent. */
+  /** Number of calls affected; every call until the next change when absent. */
   count: z.int().positive().optional(),
-  /** Hits only calls that touch a key with this start. */
+  /** Limits the fault to calls that touch a key with this prefix. */
   keyPrefix: z.string().optional(),
 });
 
 export type Fault = z.output<typeof faultSchema>;
 
-/** Stands for every area that has no fault of its own. */
+/** Matches every area that has no fault of its own. */
 export const EVERY_AREA = '*';
 
 const NO_FAULT: Fault = {mode: 'ok'};
 
-/** The faults in force. */
-export class FaultBoard {
+/** The faults that are set at present. */
+export class ActiveFaults {
   private readonly faults = new Map<string, Fault>();
 
   /**
-   * Puts a fault in force, in place of the area's former one.
+   * Sets the fault of an area, replacing its previous one.
    *
    * @example
    * faults.set('table', {mode: 'lose_answer', count: 1});
@@ -52,8 +52,11 @@
     this.faults.set(area, fault);
   }
 
-  /** The fault that hits a call, which counts as one of `count`. */
-  take(area: string, keys: readonly string[]): Fault {
+  /**
+   * Returns the fault that affects a call; the call uses up one of the fault's
+   * `count`.
+   */
+  consume(area: string, keys: readonly string[]): Fault {
     const place = this.faults.has(area) ? area : EVERY_AREA;
     const fault = this.faults.get(place) ?? NO_FAULT;
     const {count, keyPrefix} = fault;
--- a/packages/stand_ins/src/http/listen.ts
+++ b/packages/stand_ins/src/http/listen.ts
@@ -1,11 +1,11 @@
-/** Listening on a port, as a promise. */
+/** Makes a server listen, as a promise. */
 
 import type {AddressInfo, Server} from 'node:net';
 
 /**
- * Listens.
+ * Starts listening.
  *
- * @returns the port, which matters where 0 was asked for.
+ * @returns the port, chosen by the system when `port` is 0.
  * @example
  * const port = await listenOn(server, 0, '127.0.0.1');
  */
--- a/packages/stand_ins/src/http/reset.ts
+++ b/packages/stand_ins/src/http/reset.ts
@@ -1,11 +1,11 @@
-/** Resetting connections. */
+/** Resets TCP connections. */
 
 import type {Socket} from 'node:net';
 
 /**
- * Resets a connection. One whose own end is being shut down already is closed:
- * Node.js fails to reset it and then leaves its handle open, which shows in a
- * process that does not end.
+ * Resets a connection. A socket whose writable side has already been ended is
+ * closed instead: Node.js fails to reset it and leaves its handle open, which
+ * keeps the process from exiting.
  *
  * @example
  * resetConnection(request.socket);
--- a/packages/stand_ins/src/http/stand_in_server.ts
+++ b/packages/stand_ins/src/http/stand_in_server.ts
@@ -1,22 +1,22 @@
-/** What every stand-in shares: a listener, faults and a control call. */
+/** Base class of the HTTP stand-ins: a listener, faults and a control call. */
 
 import type {Server as HttpServer} from 'node:http';
 import type {Socket} from 'node:net';
 import {setTimeout as delay} from 'node:timers/promises';
 import restify, {type Request, type Response, type Server} from 'restify';
 import {headerOf, parseJson, readBody, sendJson} from './exchange.js';
-import {FaultBoard, type Fault} from './faults.js';
+import {ActiveFaults, type Fault} from './faults.js';
 import {listenOn} from './listen.js';
 import {resetConnection} from './reset.js';
 
-/** Where a stand-in listens. */
+/** Address on which a stand-in listens. */
 export interface ListenOptions {
   readonly host?: string;
-  /** 0 takes any free port. */
+  /** 0 lets the system choose a free port. */
   readonly port?: number;
 }
 
-/** A call that has been read. */
+/** A call whose body has been read. */
 export interface Call {
   readonly request: Request;
   readonly response: Response;
@@ -24,10 +24,10 @@
   readonly fault: Fault;
 }
 
-/** What a call is answered. */
+/** The response to a call. */
 export interface Answer {
   readonly status: number;
-  /** Bytes as they are; anything else as JSON. */
+  /** A `Buffer` is sent unchanged, anything else as JSON. */
   readonly body: unknown;
 }
 
@@ -35,11 +35,14 @@
 export interface Route {
   readonly method: 'get' | 'post' | 'put';
   readonly path: string;
-  /** Faults are set by area. */
+  /** Area whose fault affects the call. */
   readonly area: string;
-  /** Keys that the call touches, for faults which hit some keys only. */
+  /** Keys that the call touches, for faults with a `keyPrefix`. */
   readonly keysOf?: (request: Request, body: Buffer) => readonly string[];
-  /** Carries it out; without an answer it has written the response itself. */
+  /**
+   * Carries out the call. When it returns `undefined`, it handles the response
+   * itself.
+   */
   readonly run: (call: Call) => Answer | undefined | Promise<Answer>;
 }
 
@@ -48,7 +51,7 @@
 
 /** A restify server whose connections can all be reset at once. */
 export abstract class StandInServer {
-  readonly faults = new FaultBoard();
+  readonly faults = new ActiveFaults();
   protected readonly server: Server;
   private readonly sockets = new Set<Socket>();
   private readonly host: string;
@@ -71,7 +74,7 @@
   }
 
   /**
-   * Scheme, IP number and port; known once it has started.
+   * Scheme, IP address and port; with port 0 it is valid only after the start.
    *
    * @example
    * await engine.start();
@@ -82,7 +85,7 @@
   }
 
   /**
-   * Listens, always on the port of its first start.
+   * Starts listening; a restart uses the port of the first start.
    *
    * @example
    * await engine.start();
@@ -104,26 +107,34 @@
     await closed;
   }
 
-  /** Carries out the body of a control call; throws when it is wrong. */
-  protected abstract obey(command: unknown): void;
+  /**
+   * Applies the body of a control call.
+   *
+   * @throws Error when the body is invalid, which is answered 400.
+   */
+  protected abstract applyControl(command: unknown): void;
 
-  /** What `GET /control/log` answers. */
+  /** The body of the answer to `GET /control/log`. */
   protected abstract report(): object;
 
-  /** The `Authorization` that every call must show; none when absent. */
+  /**
+   * The `Authorization` header that every served route requires; `undefined`
+   * when none is needed.
+   */
   protected get requiredAuthorization(): string | undefined {
     return undefined;
   }
 
-  /** Serves a route under the faults of its area. */
+  /** Registers a route and applies the faults of its area to its calls. */
   protected serve(route: Route): void {
     const mount = this.server[route.method].bind(this.server);
     mount(route.path, async (request: Request, response: Response) => {
       const body = await readBody(request);
       const keys = route.keysOf?.(request, body) ?? [];
-      const fault = this.faults.take(route.area, keys);
+      const fault = this.faults.consume(route.area, keys);
       const call = {request, response, body, fault};
-      if (!this.isAuthorized(call) || !(await passes(call))) return;
+      if (!this.isAuthorized(call) || !(await applyPreEffectFault(call)))
+        return;
       const answer = await route.run(call);
       if (answer === undefined) return;
       if (fault.mode === 'lose_answer') resetSocket(call);
@@ -131,7 +142,7 @@
     });
   }
 
-  /** Callers see `ECONNRESET`, as when a process is killed. */
+  /** Resets every connection: callers see `ECONNRESET`, as after a kill. */
   protected resetConnections(): void {
     for (const socket of this.sockets) resetConnection(socket);
   }
@@ -149,7 +160,7 @@
     response: Response,
   ): Promise<void> {
     try {
-      this.obey(parseJson(await readBody(request)));
+      this.applyControl(parseJson(await readBody(request)));
       sendJson(response, 200, {});
     } catch (error) {
       const message = error instanceof Error ? error.message : String(error);
@@ -167,8 +178,12 @@
   resetConnection(call.request.socket);
 }
 
-/** Shows the faults that come before anything takes effect. */
-async function passes(call: Call): Promise<boolean> {
+/**
+ * Applies the faults that occur before the call takes effect.
+ *
+ * @returns whether the call is to be carried out.
+ */
+async function applyPreEffectFault(call: Call): Promise<boolean> {
   const {mode, delayMs = 0} = call.fault;
   switch (mode) {
     case 'down':
--- a/packages/stand_ins/src/lagged_value.ts
+++ b/packages/stand_ins/src/lagged_value.ts
@@ -1,11 +1,11 @@
-/** A value that its readers see as it was a while ago. */
+/** A value whose readers see changes only after a configurable lag. */
 
 interface Version<T> {
   readonly value: T;
   readonly sinceEpochMs: number;
 }
 
-/** Lists and reports of real systems lag; so do those of the stand-ins. */
+/** Simulates the lag with which real systems publish lists and reports. */
 export class LaggedValue<T> {
   lagMs: number;
   private versions: Array<Version<T>>;
@@ -15,34 +15,34 @@
     this.versions = [{value: first, sinceEpochMs: 0}];
   }
 
-  /** The value as it is. */
+  /** The latest value, without the lag. */
   get current(): T {
     return this.versions[this.versions.length - 1].value;
   }
 
   /**
-   * Changes the value; readers see it after the lag.
+   * Changes the value; readers see the change once the lag has passed.
    *
    * @example
    * load.set({running: 3}, Date.now());
    */
   set(value: T, nowEpochMs: number): void {
     this.versions.push({value, sinceEpochMs: nowEpochMs});
-    const seen = this.seenAt(nowEpochMs);
+    const seen = this.visibleIndexAt(nowEpochMs);
     this.versions = this.versions.slice(seen);
   }
 
   /**
-   * The value that readers see.
+   * Returns the value that readers see now, and since when it has been current.
    *
    * @example
    * load.read(Date.now());
    */
   read(nowEpochMs: number): Version<T> {
-    return this.versions[this.seenAt(nowEpochMs)];
+    return this.versions[this.visibleIndexAt(nowEpochMs)];
   }
 
-  private seenAt(nowEpochMs: number): number {
+  private visibleIndexAt(nowEpochMs: number): number {
     const seenEpochMs = nowEpochMs - this.lagMs;
     const at = this.versions.findLastIndex(
       version => version.sinceEpochMs <= seenEpochMs,
--- a/packages/stand_ins/src/launch/deployment.ts
+++ b/packages/stand_ins/src/launch/deployment.ts
@@ -1,4 +1,4 @@
-/** Several entry processes at one platform, as a test or script sees them. */
+/** Several entry processes that share one platform, for tests and scripts. */
 
 import {setTimeout as delay} from 'node:timers/promises';
 import type {ObjectChange} from '@snipestage/types/configuration.js';
@@ -9,26 +9,26 @@
 } from './entry_settings_input.js';
 import type {LaunchedEntry, Launcher} from './launcher.js';
 
-/** What a {@link Deployment} consists of. */
+/** Options of {@link Deployment.start}. */
 export interface DeploymentOptions {
   readonly launcher: Launcher;
   readonly platformUrl: string;
   readonly operatorKey: string;
-  /** One for each instance: the data centre it is in. */
+  /** The data centre of each instance; one instance is started per item. */
   readonly dataCentres: readonly string[];
-  /** Sections of the settings to be changed in each instance. */
+  /** Sections of the settings that are replaced in each instance. */
   readonly changes?: Partial<EntrySettingsInput>;
 }
 
-/** Answer to a ticket that was accepted. */
+/** The answer to an accepted ticket. */
 interface Accepted {
   readonly revision: number;
 }
 
-const POLL_EVERY_MS = 50;
+const POLL_INTERVAL_MS = 50;
 const IN_FORCE_TIMEOUT_MS = 30_000;
 
-/** Entry processes that were started and are ready. */
+/** Entry processes that have been started and are ready. */
 export class Deployment {
   readonly entries: LaunchedEntry[] = [];
   private readonly options: DeploymentOptions;
@@ -39,7 +39,7 @@
   }
 
   /**
-   * Starts the entry processes and waits until each takes requests.
+   * Starts the entry processes and waits until each is ready for requests.
    *
    * @example
    * const deployment = await Deployment.start({
@@ -71,9 +71,10 @@
 
   /**
    * Submits a change ticket with the next number and waits until it is in
-   * force everywhere.
+   * force at every instance.
    *
-   * @throws Error with the refusal.
+   * @throws Error with the answer's body when the ticket is refused, or when
+   *     the revision is not in force after 30 s.
    * @example
    * await deployment.submit([{kind: 'model', id: 'repair', state}]);
    */
@@ -101,9 +102,9 @@
   }
 
   /**
-   * Waits until every running instance has a revision in force.
+   * Waits until every instance has at least this revision in force.
    *
-   * @throws Error when half a minute was not enough.
+   * @throws Error when this takes longer than 30 s.
    * @example
    * await deployment.waitForRevision(2);
    */
@@ -113,9 +114,9 @@
       while ((await this.revisionOf(entry)) < revision) {
         if (performance.now() > deadlineMs) {
           const {instance} = entry.settings;
-          throw new Error(`${instance} lacks revision ${revision}`);
+          throw new Error(`${instance} did not reach revision ${revision}`);
         }
-        await delay(POLL_EVERY_MS);
+        await delay(POLL_INTERVAL_MS);
       }
     }
   }
@@ -135,7 +136,10 @@
     });
   }
 
-  /** The platform's list is where instances first hear of each other. */
+  /**
+   * Publishes the instances in the platform's list, through which they first
+   * discover each other.
+   */
   private async listInstances(
     settings: readonly EntrySettingsInput[],
   ): Promise<void> {
--- a/packages/stand_ins/src/launch/entry_settings_input.ts
+++ b/packages/stand_ins/src/launch/entry_settings_input.ts
@@ -1,4 +1,4 @@
-/** Settings of entry processes that run beside each other on one machine. */
+/** Settings for several entry processes on one machine. */
 
 import {hashKey} from '@snipestage/configuration/key_hash.js';
 import type {entrySettingsSchema} from '@snipestage/settings/entry_settings.js';
@@ -6,10 +6,10 @@
 import {DEFAULT_PLATFORM_TOKEN} from '../platform/platform_stand_in.js';
 import {pickFreePorts} from './free_ports.js';
 
-/** Settings as a person writes them, defaults left out. */
+/** Settings as written in a file: fields with defaults are optional. */
 export type EntrySettingsInput = z.input<typeof entrySettingsSchema>;
 
-/** What has to be said of an instance. */
+/** Options of {@link makeEntrySettings}. */
 export interface MakeEntrySettingsOptions {
   readonly instance: string;
   readonly dataCentre: string;
@@ -17,7 +17,7 @@
   readonly platformToken?: string;
   readonly operatorKey: string;
   readonly region?: string;
-  /** Sections to be changed, such as `{lease: {termMs: 1000}}`. */
+  /** Sections that replace the generated ones, as `{lease: {termMs: 1000}}`. */
   readonly changes?: Partial<EntrySettingsInput>;
 }
 
@@ -26,7 +26,7 @@
 const PORTS_PER_INSTANCE = 3;
 
 /**
- * Settings with free ports.
+ * Makes settings with free ports.
  *
  * @example
  * const settings = await makeEntrySettings({
--- a/packages/stand_ins/src/launch/free_ports.test.ts
+++ b/packages/stand_ins/src/launch/free_ports.test.ts
@@ -11,7 +11,7 @@
 const PROCESSES = 8;
 const PORTS_PER_PROCESS = 250;
 
-/** A process that has picked ports and holds them. */
+/** Starts a process that picks ports and keeps their blocks reserved. */
 async function startPicker(launcher: Launcher, ...args: readonly number[]) {
   const picker = launcher.launch({script: CHILD, args: args.map(String)});
   const {ports} = await picker.firstJsonLine<{ports: number[]}>();
@@ -19,10 +19,10 @@
 }
 
 test('processes that pick ports at the same time never pick the same ones', async t => {
-  // Files of tests run beside each other, and the processes that they start take
-  // seconds until they listen. If another file has picked the same port by then,
-  // one of the two processes ends with EADDRINUSE and its test fails for no
-  // fault of the product.
+  // Test files run in parallel, and the processes that they start need seconds
+  // until they listen. If another file picks the same port meanwhile, one of
+  // the two processes ends with EADDRINUSE and its test fails without a fault
+  // of the product.
   const launcher = new Launcher();
   t.teardown(() => launcher.close());
   const pickers = await Promise.all(
@@ -34,7 +34,7 @@
   t.is(new Set(ports).size, PROCESSES * PORTS_PER_PROCESS);
 });
 
-/** The lower one of two neighbouring ports that are this process's alone. */
+/** Returns the lower of two adjacent ports reserved for this process. */
 async function pickNeighbours(): Promise<number> {
   for (;;) {
     const [lower, upper] = await pickFreePorts(2);
@@ -43,8 +43,8 @@
 }
 
 test('ports of a process that was killed can be picked again', async t => {
-  // Test runs are broken off all the time. Did what they held outlive them, each
-  // would leave fewer ports, until no test that starts processes can run.
+  // Test runs are often aborted. If reservations outlived their process, each
+  // aborted run would leave fewer ports, until tests could start no processes.
   const launcher = new Launcher();
   t.teardown(() => launcher.close());
   const lowestPort = await pickNeighbours();
@@ -58,9 +58,9 @@
   t.deepEqual(await new PortPicker(onlyBlock).pick(1), [lowestPort + 1]);
 });
 
-test('a port on which somebody listens is left out', async t => {
-  // A process outlives the test that started it and was killed. Given its port,
-  // the next process would not start.
+test('a port that already has a listener is skipped', async t => {
+  // A process may outlive the killed test that started it. Another process that
+  // is given the same port fails to start.
   const lowestPort = await pickNeighbours();
   const stranger = createServer();
   t.teardown(() => stranger.close());
@@ -69,7 +69,7 @@
   await t.throwsAsync(picker.pick(1), {message: /all blocks/});
 });
 
-test('picks of one process at the same time are different ports', async t => {
+test('concurrent picks of one process return different ports', async t => {
   const picks = Array.from({length: 70}, () => pickFreePorts(3));
   const ports = (await Promise.all(picks)).flat();
   t.is(new Set(ports).size, 210);
--- a/packages/stand_ins/src/launch/free_ports.ts
+++ b/packages/stand_ins/src/launch/free_ports.ts
@@ -1,20 +1,20 @@
-/** Ports for processes that have to be told theirs. */
+/** Picks ports for processes whose ports are set in their settings. */
 
 import {randomInt} from 'node:crypto';
 import {createServer, type Server} from 'node:net';
 import {listenOn} from '../http/listen.js';
 
-/** What a {@link PortPicker} is made from; defaults in the brackets. */
+/** Options of {@link PortPicker}; defaults in parentheses. */
 export interface PortPickerOptions {
   /**
    * First port of the first block (12,000). With the defaults all blocks lie
-   * outside of the range of outgoing connections, one of which could otherwise
-   * take a port before the process that was to have it.
+   * outside the ephemeral port range. Otherwise an outgoing connection could
+   * take a picked port before the process that is to have it listens on it.
    */
   readonly lowestPort?: number;
-  /** How many blocks follow one another (200). */
+  /** Number of consecutive blocks (200). */
   readonly blocks?: number;
-  /** Ports of a block, its guard among them (100). */
+  /** Ports per block, including its guard port (100). */
   readonly portsPerBlock?: number;
 }
 
@@ -24,14 +24,14 @@
 const DEFAULT_PORTS_PER_BLOCK = 100;
 
 /**
- * Picks ports from blocks that are this process's alone.
+ * Picks ports from blocks that are reserved for this process.
  *
- * A port on which nobody listens now is not free yet: a process that was told
- * it takes seconds until it listens, and another process of tests may pick it
- * meanwhile. One of the two then ends with EADDRINUSE. So whoever picks from a
- * block listens on its first port, the guard, for as long as it lives, and
- * nobody picks from a block whose guard is taken. The system lets go of the
- * guard with the process, however it ends.
+ * It is not enough that a port has no listener: a process that was given the
+ * port needs seconds until it listens, and another test process may pick the
+ * same port meanwhile. One of the two then ends with EADDRINUSE. Therefore a
+ * process that picks from a block listens on the block's first port, the guard,
+ * until it ends, and no process picks from a block whose guard is taken. The
+ * system releases the guard when the process ends, even if it is killed.
  */
 export class PortPicker {
   private readonly lowestPort: number;
@@ -46,24 +46,25 @@
   }
 
   /**
-   * Ports on which nobody listens; none is given out twice.
+   * Picks ports that have no listener; none is returned twice.
    *
-   * @throws Error when other processes hold all blocks.
+   * @throws Error when the guards of all blocks are taken.
    * @example
    * const [callersPort, adminPort] = await picker.pick(2);
    */
   async pick(count: number): Promise<number[]> {
     const ports: number[] = [];
     while (ports.length < count) {
-      const port = await this.takeNext();
-      // Left behind by a process that outlived the holder of its block.
-      if (await isListenedOn(port)) continue;
+      const port = await this.nextPort();
+      // A process may still listen although the process that reserved the block
+      // and gave it the port has ended.
+      if (await isInUse(port)) continue;
       ports.push(port);
     }
     return ports;
   }
 
-  private async takeNext(): Promise<number> {
+  private async nextPort(): Promise<number> {
     for (;;) {
       this.block ??= this.reserveBlock();
       const reservation = this.block;
@@ -73,7 +74,11 @@
     }
   }
 
-  /** @returns the block's ports without its guard. */
+  /**
+   * Reserves a block, searching from a random one.
+   *
+   * @returns the block's ports without its guard.
+   */
   private async reserveBlock(): Promise<Iterator<number>> {
     const {blocks, lowestPort, portsPerBlock} = this;
     const firstTried = randomInt(blocks);
@@ -92,7 +97,7 @@
 const sharedPicker = new PortPicker();
 
 /**
- * Picks ports that no other process picks while this one lives.
+ * Picks ports that no other process picks until this one ends.
  *
  * @example
  * const [callersPort, adminPort, peerPort] = await pickFreePorts(3);
@@ -105,14 +110,18 @@
   for (let port = from; port < below; port += 1) yield port;
 }
 
-async function isListenedOn(port: number): Promise<boolean> {
+async function isInUse(port: number): Promise<boolean> {
   const server = await tryToListen(port);
   if (server === undefined) return true;
   await new Promise(resolve => server.close(resolve));
   return false;
 }
 
-/** Turns away whoever connects. */
+/**
+ * Listens on the port and closes every connection that is accepted.
+ *
+ * @returns `undefined` when listening fails.
+ */
 async function tryToListen(port: number): Promise<Server | undefined> {
   const server = createServer(socket => socket.destroy());
   try {
--- a/packages/stand_ins/src/launch/launched_process.ts
+++ b/packages/stand_ins/src/launch/launched_process.ts
@@ -1,10 +1,10 @@
-/** A child process of a test or script, known by its id. */
+/** A child process of a test or script, controlled by its process id. */
 
 import {spawn, type ChildProcess} from 'node:child_process';
 
-/** What to start. */
+/** Options of {@link LaunchedProcess}. */
 export interface LaunchOptions {
-  /** JavaScript file, run by this same Node.js. */
+  /** JavaScript file, run with the Node.js of this process. */
   readonly script: string;
   readonly args?: readonly string[];
   readonly env?: Readonly<Record<string, string>>;
@@ -18,11 +18,11 @@
   readonly signal: NodeJS.Signals | null;
 }
 
-/** Output kept of each stream; older text is dropped. */
-const MOST_OUTPUT_CHARACTERS = 1_000_000;
+/** Output kept of each stream; older output is dropped. */
+const MAX_OUTPUT_CHARACTERS = 1_000_000;
 const NODE_ARGUMENTS = ['--no-deprecation', '--enable-source-maps'];
 
-/** One process; its output stays in memory. */
+/** One process; its output is captured in memory. */
 export class LaunchedProcess {
   readonly exited: Promise<Exit>;
   stdout = '';
@@ -42,12 +42,12 @@
     this.exited = new Promise(resolve => {
       this.child.once('close', (code, signal) => {
         resolve({code, signal});
-        this.tellWatchers();
+        this.notifyWatchers();
       });
     });
   }
 
-  /** Its process id. */
+  /** Process id; 0 when the process could not be started. */
   get pid(): number {
     return this.child.pid ?? 0;
   }
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Ends it without warning.
+   * Kills the process (`SIGKILL`) and waits for its end.
    *
    * @example
    * await entry.kill();
@@ -67,32 +67,33 @@
     return this.exited;
   }
 
-  /** Asks it to end in good order, and waits until it has. */
+  /** Asks the process to shut down (`SIGTERM`) and waits for its end. */
   async terminate(): Promise<Exit> {
     this.child.kill('SIGTERM');
     return this.exited;
   }
 
-  /** Ends it as Ctrl-C does, and waits until it has. */
+  /** Interrupts the process as Ctrl-C does (`SIGINT`) and waits for its end. */
   async interrupt(): Promise<Exit> {
     this.child.kill('SIGINT');
     return this.exited;
   }
 
-  /** Stops it where it is, as a long pause does. */
+  /** Suspends the process (`SIGSTOP`), which simulates a long pause. */
   freeze(): void {
     this.child.kill('SIGSTOP');
   }
 
-  /** Lets it go on after {@link freeze}. */
+  /** Resumes the process after {@link freeze}. */
   thaw(): void {
     this.child.kill('SIGCONT');
   }
 
   /**
-   * Waits for a line of its standard output that is JSON.
+   * Waits for the first complete line of standard output that is a JSON object,
+   * and parses it.
    *
-   * @throws Error with its output when it ends without one.
+   * @throws Error with its standard error when the process ends without one.
    * @example
    * const {url} = await standIn.firstJsonLine<{url: string}>();
    */
@@ -104,9 +105,9 @@
   }
 
   /**
-   * Waits until its standard output matches.
+   * Waits until the standard output matches.
    *
-   * @throws Error with its output when it ends before.
+   * @throws Error with its standard error when the process ends before.
    * @example
    * await quickstart.outputMatching(/Ctrl-C/);
    */
@@ -114,7 +115,7 @@
     return this.findInOutput(stdout => pattern.exec(stdout) ?? undefined);
   }
 
-  /** An error that tells how it ended. */
+  /** Returns an error with the exit code or signal and the standard error. */
   endedError(): Error {
     const {exitCode, signalCode} = this.child;
     return new Error(
@@ -139,7 +140,7 @@
     });
   }
 
-  private tellWatchers(): void {
+  private notifyWatchers(): void {
     for (const watcher of this.watchers) watcher();
     this.watchers.clear();
   }
@@ -147,8 +148,8 @@
   private capture(stream: 'stdout' | 'stderr'): void {
     this.child[stream]?.setEncoding('utf8');
     this.child[stream]?.on('data', (text: string) => {
-      this[stream] = (this[stream] + text).slice(-MOST_OUTPUT_CHARACTERS);
-      this.tellWatchers();
+      this[stream] = (this[stream] + text).slice(-MAX_OUTPUT_CHARACTERS);
+      this.notifyWatchers();
     });
   }
 }
--- a/packages/stand_ins/src/launch/launcher.test.ts
+++ b/packages/stand_ins/src/launch/launcher.test.ts
@@ -5,7 +5,7 @@
 
 const OPERATOR_KEY = 'sk-operator';
 
-test('stand-ins and an entry process start, freeze, thaw and end', async t => {
+test('stand-ins and an entry process can be started, suspended, resumed and ended', async t => {
   const launcher = new Launcher();
   t.teardown(() => launcher.close());
   const platform = await launcher.launchStandIn('platform');
@@ -31,7 +31,7 @@
   t.is((await entry.process.kill()).signal, 'SIGKILL');
 });
 
-test('a command is run to its end', async t => {
+test('runCommand waits for the command to finish and returns its output', async t => {
   const launcher = new Launcher();
   t.teardown(() => launcher.close());
   const result = await launcher.runCommand(['keys', 'hash', '--generate']);
--- a/packages/stand_ins/src/launch/launcher.ts
+++ b/packages/stand_ins/src/launch/launcher.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the processes of tests and scripts and ends just those, by id. Only
- * tests and scripts use it: no process of the product starts another.
+ * Starts the processes of tests and scripts and ends only those, by process id.
+ * Only tests and scripts use it: no process of the product starts another.
  */
 
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
@@ -16,15 +16,15 @@
   type LaunchOptions,
 } from './launched_process.js';
 
-/** What {@link Launcher.launchStandIn} can start. */
+/** Commands of `main.ts` that {@link Launcher.launchStandIn} can run. */
 export type StandInName =
   'platform' | 'engine' | 'engines' | 'service' | 'link';
 
-/** A stand-in that has said that it is ready. */
+/** A stand-in process that is ready. */
 export interface LaunchedStandIn {
   readonly process: LaunchedProcess;
   readonly url: string;
-  /** More than one where it hosts several. */
+  /** More than one when the process hosts several stand-ins. */
   readonly urls: readonly string[];
 }
 
@@ -36,14 +36,14 @@
   readonly adminUrl: string;
 }
 
-/** How to start an entry process. */
+/** Options of {@link Launcher.launchEntry}. */
 export interface LaunchEntryOptions {
   readonly settings: EntrySettingsInput;
-  /** Waits until it listens; on by default. */
-  readonly waitUntilUp?: boolean;
+  /** Whether to wait until `/healthz` answers 200; true by default. */
+  readonly waitUntilListening?: boolean;
 }
 
-/** What a finished command printed. */
+/** The exit and the output of a finished command. */
 export interface CommandResult extends Exit {
   readonly stdout: string;
   readonly stderr: string;
@@ -52,15 +52,15 @@
 const STAND_INS_SCRIPT = pathTo('../main.js');
 const ENTRY_SCRIPT = pathTo('../../../entry/bin/snipestage_entry.js');
 const COMMAND_SCRIPT = pathTo('../../../cli/bin/snipestage.js');
-const POLL_EVERY_MS = 25;
-const UP_TIMEOUT_MS = 30_000;
+const POLL_INTERVAL_MS = 25;
+const STATUS_TIMEOUT_MS = 30_000;
 const REQUEST_TIMEOUT_MS = 2000;
 
-/** Owns the processes that it started. */
+/** Starts processes and kills those that still run when it is closed. */
 export class Launcher {
   private readonly processes = new Set<LaunchedProcess>();
   private readonly folder = mkdtempSync(join(tmpdir(), 'snipestage-'));
-  private files = 0;
+  private fileCount = 0;
   private readonly killAll = () => {
     for (const launched of this.processes) void launched.kill();
   };
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Starts any script of Node.js.
+   * Starts a Node.js script.
    *
    * @example
    * const launched = launcher.launch({script: 'dist/main.js'});
@@ -85,6 +85,9 @@
   /**
    * Starts a stand-in and waits until it listens.
    *
+   * @param options flags of the command, without the leading dashes.
+   * @throws Error when the process ends before.
+   *
    * @example
    * const engines = await launcher.launchStandIn('engines', {count: '8'});
    */
@@ -108,14 +111,16 @@
   }
 
   /**
-   * Starts an entry process with its settings in a file.
+   * Writes the settings to a file and starts an entry process with it.
+   *
+   * @throws Error when it is waited for and ends, or isn't up within 30 s.
    *
    * @example
    * const settings = await makeEntrySettings({instance: 'akl-a-1', platformUrl});
    * const entry = await launcher.launchEntry({settings});
    */
   async launchEntry(options: LaunchEntryOptions): Promise<LaunchedEntry> {
-    const {settings, waitUntilUp = true} = options;
+    const {settings, waitUntilListening: waitUntilUp = true} = options;
     const file = this.writeFile(settings);
     const launched = this.launch({
       script: ENTRY_SCRIPT,
@@ -132,9 +137,9 @@
   }
 
   /**
-   * Waits until an entry process takes requests.
+   * Waits until an entry process is ready for requests.
    *
-   * @throws Error when it ends, or is not ready within half a minute.
+   * @throws Error when it ends, or is not ready within 30 s.
    * @example
    * await launcher.waitUntilReady(entry);
    */
@@ -143,7 +148,7 @@
   }
 
   /**
-   * Runs the operators' command to its end.
+   * Runs the operators' command and waits for its end.
    *
    * @example
    * await launcher.runCommand(['status', '--admin-url', entry.adminUrl], {
@@ -160,7 +165,8 @@
   }
 
   /**
-   * Ends what still runs of its processes, frozen ones as well.
+   * Kills the processes that still run, suspended ones as well, and deletes the
+   * files.
    *
    * @example
    * t.teardown(() => launcher.close());
@@ -171,10 +177,10 @@
     rmSync(this.folder, {recursive: true, force: true});
   }
 
-  /** Writes JSON to a file that goes with the launcher. */
+  /** Writes JSON to a file that {@link close} deletes, and returns its path. */
   writeFile(content: object): string {
-    this.files += 1;
-    const file = join(this.folder, `${this.files}.json`);
+    this.fileCount += 1;
+    const file = join(this.folder, `${this.fileCount}.json`);
     writeFileSync(file, JSON.stringify(content, null, 2));
     return file;
   }
@@ -183,13 +189,15 @@
     entry: LaunchedEntry,
     path: string,
   ): Promise<void> {
-    const deadlineMs = performance.now() + UP_TIMEOUT_MS;
+    const deadlineMs = performance.now() + STATUS_TIMEOUT_MS;
     while (!(await answersOk(entry.callersUrl + path))) {
       if (!entry.process.isRunning) throw entry.process.endedError();
       if (performance.now() > deadlineMs) {
-        throw new Error(`${path} is not 200 yet: ${entry.process.stderr}`);
+        throw new Error(
+          `${path} did not answer 200 in time: ${entry.process.stderr}`,
+        );
       }
-      await delay(POLL_EVERY_MS);
+      await delay(POLL_INTERVAL_MS);
     }
   }
 }
--- a/packages/stand_ins/src/launch/test_support/pick_ports_child.ts
+++ b/packages/stand_ins/src/launch/test_support/pick_ports_child.ts
@@ -1,7 +1,7 @@
 /**
- * Picks as many ports as its first argument says, prints them as a JSON line
- * and lives on until it is killed. The other arguments, if any, are the lowest
- * port, the number of blocks and the ports of a block.
+ * Picks as many ports as the first argument says, prints them as a JSON line
+ * and runs until it is killed. The optional further arguments are the lowest
+ * port, the number of blocks and the ports per block.
  */
 
 import {PortPicker} from '../free_ports.js';
--- a/packages/stand_ins/src/link/link.test.ts
+++ b/packages/stand_ins/src/link/link.test.ts
@@ -41,7 +41,7 @@
   return {link, agent, stop};
 }
 
-test('a link passes, is cut, refuses and passes again', async t => {
+test('a link relays, resets, refuses and relays again', async t => {
   const {link, agent, stop} = await startLink();
   t.deepEqual(await get(link.url, agent), {status: 200});
   await link.setMode('cut');
@@ -54,9 +54,9 @@
   await stop();
 });
 
-test('open connections go silent for good while new ones work', async t => {
-  // Something between the ends has lost track of a pooled connection. A user
-  // would see a call that never ends, though the service is well.
+test('open connections go silent permanently while new ones work', async t => {
+  // A device on the path loses the state of a pooled connection: a call on it
+  // never ends although the service is healthy.
   const {link, agent, stop} = await startLink();
   await get(link.url, agent);
   await link.setMode('silent_existing');
@@ -65,7 +65,7 @@
   await stop();
 });
 
-test('bytes one way vanish', async t => {
+test('bytes in a dropped direction do not arrive', async t => {
   const {link, stop} = await startLink();
   await link.setMode('drop_to_client');
   const outcome = await get(link.url, new Agent(), 50);
@@ -73,13 +73,13 @@
   await stop();
 });
 
-test('a connection that outlives a failure of one way loses nothing', async t => {
-  // A stream runs while packets one way are lost. TCP sends them again; were
-  // some of its bytes left out and later ones passed, its caller would get a
-  // whole answer with a hole in it, which no network does.
+test('a connection that survives a failure of one direction loses no bytes', async t => {
+  // Packets in one direction are lost while a stream runs, and TCP retransmits
+  // them. If the link dropped bytes and relayed later ones, the caller would
+  // receive an answer with a gap, which no real network causes.
   const sockets: Socket[] = [];
   const server = createServer(socket => {
-    // The link resets what is open when it stops.
+    // The link resets open connections when it stops.
     socket.on('error', () => undefined);
     sockets.push(socket);
   });
--- a/packages/stand_ins/src/link/link.ts
+++ b/packages/stand_ins/src/link/link.ts
@@ -1,27 +1,28 @@
-/** A TCP relay between two addresses, whose path can be made to fail. */
+/** A TCP relay that simulates network failures between two addresses. */
 
 import {connect, createServer, type Server, type Socket} from 'node:net';
 import {listenOn} from '../http/listen.js';
 import {resetConnection} from '../http/reset.js';
 import type {ListenOptions} from '../http/stand_in_server.js';
 
-/** How a link starts. */
+/** Options of {@link Link}. */
 export interface LinkOptions extends ListenOptions {
   readonly targetHost?: string;
   readonly targetPort: number;
-  /** One way. */
+  /** Delay added in each direction. */
   readonly latencyMs?: number;
 }
 
 /**
- * - `pass`: bytes go both ways.
- * - `cut`: every connection, old and new, is reset.
- * - `refuse`: new connections are refused; old ones go on.
+ * - `pass`: bytes are relayed in both directions.
+ * - `cut`: every connection, existing or new, is reset.
+ * - `refuse`: new connections are refused; existing ones continue.
  * - `silent_existing`: connections that are open now carry nothing any more,
- *   for good and without a reset; new ones work.
- * - `drop_to_target`, `drop_to_client`: bytes one way don't arrive. A connection
- *   that lives on has them when the way is whole again, as TCP sends them until
- *   they are acknowledged: it never loses some in the middle.
+ *   permanently and without a reset; new ones work.
+ * - `drop_to_target`, `drop_to_client`: bytes in this direction don't arrive.
+ *   If the connection is still open when the direction works again, they are
+ *   delivered then, as TCP retransmits until bytes are acknowledged: a
+ *   connection never loses bytes in the middle.
  */
 export const LINK_MODES = [
   'pass',
@@ -37,9 +38,12 @@
 interface Relay {
   readonly client: Socket;
   readonly target: Socket;
-  /** Lost track of by something between the ends. */
+  /**
+   * Whether bytes are discarded for good, as when a device on the path has lost
+   * the state of the connection.
+   */
   isSilent: boolean;
-  /** Under way when the way failed, in order. */
+  /** Actions held back while their direction is dropped, in order. */
   readonly held: Record<Direction, Array<() => void>>;
 }
 
@@ -47,7 +51,7 @@
 
 const DEFAULT_HOST = '127.0.0.1';
 
-/** Relays whatever connects to it. */
+/** Relays each connection that it accepts to the target. */
 export class Link {
   latencyMs: number;
   private readonly options: LinkOptions;
@@ -80,7 +84,7 @@
   }
 
   /**
-   * Listens, always on the port of its first start.
+   * Starts listening; a restart uses the port of the first start.
    *
    * @example
    * const link = new Link({targetPort: 9000});
@@ -90,21 +94,21 @@
     await this.listen();
   }
 
-  /** Stops listening and resets what is open. */
+  /** Stops listening and resets the open connections. */
   async stop(): Promise<void> {
     this.resetAll();
-    await this.unlisten();
+    await this.stopListening();
   }
 
   /**
-   * Changes what becomes of bytes and connections.
+   * Sets how bytes and connections are handled from now on.
    *
    * @example
    * await link.setMode('silent_existing');
    */
   async setMode(mode: LinkMode): Promise<void> {
     this.currentMode = mode;
-    if (mode === 'refuse') await this.unlisten();
+    if (mode === 'refuse') await this.stopListening();
     else await this.listen();
     if (mode === 'cut') this.resetAll();
     if (mode === 'silent_existing') {
@@ -118,7 +122,7 @@
     if (this.currentMode === `drop_${direction}`) return;
     for (const relay of this.relays) {
       const acts = relay.held[direction].splice(0);
-      for (const act of acts) this.later(relay, direction, act);
+      for (const act of acts) this.deliver(relay, direction, act);
     }
   }
 
@@ -147,21 +151,24 @@
   ): void {
     from.setNoDelay(true);
     from.on('data', chunk => {
-      this.later(relay, direction, () => to.write(chunk));
+      this.deliver(relay, direction, () => to.write(chunk));
     });
     from.on('end', () => {
-      this.later(relay, direction, () => to.end());
+      this.deliver(relay, direction, () => to.end());
     });
     from.on('error', () => {
-      this.later(relay, direction, () => resetConnection(to));
+      this.deliver(relay, direction, () => resetConnection(to));
     });
     from.once('close', () => {
       if (to.destroyed) this.relays.delete(relay);
     });
   }
 
-  /** The path's state counts when the bytes arrive at it. */
-  private later(relay: Relay, direction: Direction, act: () => void): void {
+  /**
+   * Performs an action after the latency. The state of the path at the time of
+   * this call decides whether it is performed, held back or discarded.
+   */
+  private deliver(relay: Relay, direction: Direction, act: () => void): void {
     if (relay.isSilent) return;
     if (this.currentMode === `drop_${direction}`) {
       relay.held[direction].push(act);
@@ -184,8 +191,8 @@
     this.port = await listenOn(this.server, this.port, this.host);
   }
 
-  /** Returns at once: open connections may outlive the listener. */
-  private async unlisten(): Promise<void> {
+  /** Doesn't wait for the server's close: connections may stay open. */
+  private async stopListening(): Promise<void> {
     if (this.server.listening) this.server.close();
   }
 }
--- a/packages/stand_ins/src/main.ts
+++ b/packages/stand_ins/src/main.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in as a process of its own. */
+/** Runs stand-ins as a process of their own. */
 
 import {Command} from 'commander';
 import {
@@ -13,7 +13,7 @@
 } from './platform/platform_stand_in.js';
 import {ServiceStandIn} from './service/service_stand_in.js';
 
-/** Options as the command line gives them. */
+/** Options as parsed from the command line. */
 interface CommandOptions {
   readonly port: string;
   /** JSON with options of the class. */
@@ -40,12 +40,12 @@
   readonly engine?: string;
 }
 
-function provisioningBy(
-  given: PlatformCommandOptions,
+function provisionerOptionsOf(
+  commandOptions: PlatformCommandOptions,
 ): EndpointProvisionerOptions {
-  const {endpoints} = optionsOf<PlatformStandInOptions>(given);
-  if (given.engine === undefined) return {...endpoints};
-  const engine = JSON.parse(given.engine) as EngineStandInOptions;
+  const {endpoints} = optionsOf<PlatformStandInOptions>(commandOptions);
+  if (commandOptions.engine === undefined) return {...endpoints};
+  const engine = JSON.parse(commandOptions.engine) as EngineStandInOptions;
   return {...endpoints, makeEndpoint: () => new EngineStandIn(engine)};
 }
 
@@ -57,8 +57,11 @@
     .option('--options <json>', 'further options of the class', '{}');
 }
 
-function optionsOf<T>(given: CommandOptions): T {
-  return {...JSON.parse(given.options), port: Number(given.port)} as T;
+function optionsOf<T>(commandOptions: CommandOptions): T {
+  return {
+    ...JSON.parse(commandOptions.options),
+    port: Number(commandOptions.port),
+  } as T;
 }
 
 const program = new Command('stand_ins').description(
@@ -66,35 +69,43 @@
 );
 addCommand('platform', 'the platform')
   .option('--token <text>', 'bearer token that callers must show')
-  .option('--engine <json>', 'carry orders out by engines with these options')
-  .action(async (given: PlatformCommandOptions) => {
-    const {token} = given;
-    const endpoints = provisioningBy(given);
-    await serve([new PlatformStandIn({...optionsOf(given), token, endpoints})]);
+  .option(
+    '--engine <json>',
+    'start engines with these options for endpoint orders',
+  )
+  .action(async (commandOptions: PlatformCommandOptions) => {
+    const {token} = commandOptions;
+    const endpoints = provisionerOptionsOf(commandOptions);
+    await serve([
+      new PlatformStandIn({...optionsOf(commandOptions), token, endpoints}),
+    ]);
   });
 addCommand('engine', 'one model engine').action(
-  async (given: CommandOptions) => {
-    await serve([new EngineStandIn(optionsOf(given))]);
+  async (commandOptions: CommandOptions) => {
+    await serve([new EngineStandIn(optionsOf(commandOptions))]);
   },
 );
 addCommand('engines', 'several model engines in one process')
   .option('--count <number>', 'how many', '8')
-  .action(async (given: CommandOptions & {count: string}) => {
-    const length = Number(given.count);
-    const options = optionsOf<EngineStandInOptions>({...given, port: '0'});
+  .action(async (commandOptions: CommandOptions & {count: string}) => {
+    const length = Number(commandOptions.count);
+    const options = optionsOf<EngineStandInOptions>({
+      ...commandOptions,
+      port: '0',
+    });
     await serve(Array.from({length}, () => new EngineStandIn(options)));
   });
 addCommand('service', 'a plain service')
   .option('--resource <name>', 'path of its records', 'bookings')
-  .action(async (given: CommandOptions & {resource: string}) => {
-    const {resource} = given;
-    await serve([new ServiceStandIn({...optionsOf(given), resource})]);
+  .action(async (commandOptions: CommandOptions & {resource: string}) => {
+    const {resource} = commandOptions;
+    await serve([new ServiceStandIn({...optionsOf(commandOptions), resource})]);
   });
 addCommand('link', 'a TCP relay')
   .requiredOption('--target-port <number>', 'port that it relays to')
-  .action(async (given: CommandOptions & {targetPort: string}) => {
-    const targetPort = Number(given.targetPort);
-    await serve([new Link({...optionsOf(given), targetPort})]);
+  .action(async (commandOptions: CommandOptions & {targetPort: string}) => {
+    const targetPort = Number(commandOptions.targetPort);
+    await serve([new Link({...optionsOf(commandOptions), targetPort})]);
   });
 
 await program.parseAsync();
--- a/packages/stand_ins/src/platform/endpoint_provisioner.ts
+++ b/packages/stand_ins/src/platform/endpoint_provisioner.ts
@@ -1,4 +1,4 @@
-/** Starts and ends endpoints as the platform stand-in is ordered to. */
+/** Starts and ends endpoints by the orders to the platform stand-in. */
 
 import type {EndpointKind} from '@snipestage/types/configuration.js';
 import {
@@ -12,19 +12,19 @@
 } from '@snipestage/types/platform_messages.js';
 import type {StandInServer} from '../http/stand_in_server.js';
 
-/** Which endpoint is to be started. */
+/** The endpoint to make. */
 export type EndpointRequest = Pick<
   ListedEndpoint,
   'id' | 'dataCentre' | 'model' | 'kind'
 >;
 
-/** How endpoints come and go. */
+/** Options of {@link EndpointProvisioner}. */
 export interface EndpointProvisionerOptions {
-  /** Makes an endpoint, not yet started; without it orders change nothing. */
+  /** Makes an endpoint that isn't started; without it no endpoint is added. */
   readonly makeEndpoint?: (request: EndpointRequest) => StandInServer;
-  /** From the order until an endpoint is live. */
+  /** Time from the order until the endpoint is started and live. */
   readonly startDelayMs?: number;
-  /** From being listed as leaving until it is gone. */
+  /** Time from being listed as leaving until the endpoint is removed. */
   readonly leaveDelayMs?: number;
   readonly onChange?: () => void;
 }
@@ -39,9 +39,9 @@
 const DEFAULT_START_DELAY_MS = 500;
 const DEFAULT_LEAVE_DELAY_MS = 10_000;
 
-/** Keeps as many endpoints of a data centre, model and kind as ordered. */
+/** Runs as many endpoints of each data centre, model and kind as ordered. */
 export class EndpointProvisioner {
-  /** False while no cheap endpoint can be had. */
+  /** False while no cheap endpoint can be ordered. */
   cheapAvailable = true;
   private readonly options: EndpointProvisionerOptions;
   private readonly running = new Map<EndpointId, RunningEndpoint>();
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Takes over an endpoint that runs already.
+   * Adds an endpoint that already runs.
    *
    * @example
    * provisioner.adopt(listedEndpoint, engine);
@@ -70,12 +70,12 @@
   /**
    * Carries out an order.
    *
-   * @returns why it can't be carried out, if so.
+   * @returns the reason for a refusal; `undefined` when it is carried out.
    * @example
    * const reason = provisioner.carryOut(order);
    */
   carryOut(order: EndpointOrder): string | undefined {
-    const present = this.presentFor(order);
+    const present = this.runningFor(order);
     const missing = order.targetCount - present.length;
     if (missing > 0 && order.kind === 'cheap' && !this.cheapAvailable) {
       return 'No cheap endpoint can be had now.';
@@ -90,7 +90,7 @@
   }
 
   /**
-   * Takes all cheap endpoints of a data centre away at once.
+   * Ends all cheap endpoints of a data centre at once.
    *
    * @example
    * provisioner.reclaimCheap(brandAs<DataCentreId>('akl-a'));
@@ -104,7 +104,7 @@
     }
   }
 
-  /** How long endpoints of a kind have run, all together. */
+  /** Total running time of all endpoints of a kind, past and present. */
   runningMs(kind: EndpointKind, nowEpochMs: number): number {
     return [...this.running.values()]
       .filter(({listed}) => listed.kind === kind)
@@ -114,7 +114,7 @@
       );
   }
 
-  /** Ends all that it runs. */
+  /** Removes all endpoints and stops those that have a stand-in. */
   async stop(): Promise<void> {
     const endpoints = [...this.running.values()];
     this.running.clear();
@@ -122,7 +122,7 @@
     await Promise.all(endpoints.map(({standIn}) => standIn?.stop()));
   }
 
-  private presentFor(order: EndpointOrder): RunningEndpoint[] {
+  private runningFor(order: EndpointOrder): RunningEndpoint[] {
     return [...this.running.values()].filter(
       ({listed}) =>
         listed.dataCentre === order.dataCentre &&
--- a/packages/stand_ins/src/platform/platform_control.ts
+++ b/packages/stand_ins/src/platform/platform_control.ts
@@ -1,4 +1,4 @@
-/** What a platform stand-in can be told by its control call. */
+/** The control call of the platform stand-in. */
 
 import type {DataCentreId} from '@snipestage/types/ids.js';
 import type {
@@ -8,7 +8,7 @@
 import {z} from 'zod';
 import {EVERY_AREA, faultSchema} from '../http/faults.js';
 
-/** Areas of the platform's interface that can fail apart from each other. */
+/** Areas of the platform's interface that can fail independently. */
 export const PLATFORM_AREAS = [
   EVERY_AREA,
   'table',
@@ -23,9 +23,9 @@
   faults: z.partialRecord(z.enum(PLATFORM_AREAS), faultSchema).optional(),
   listLagMs: z.number().min(0).optional(),
   instances: z.array(z.custom<ListedInstance>()).optional(),
-  /** Endpoints that run already, to be listed besides those ordered. */
+  /** Endpoints that already run, to be listed besides those ordered. */
   adopt: z.array(z.custom<ListedEndpoint>()).optional(),
-  /** Data centre whose cheap endpoints all go at once. */
+  /** Data centre whose cheap endpoints are all removed at once. */
   reclaimCheap: z.custom<DataCentreId>(isText).optional(),
   cheapAvailable: z.boolean().optional(),
 });
--- a/packages/stand_ins/src/platform/platform_log.ts
+++ b/packages/stand_ins/src/platform/platform_log.ts
@@ -1,4 +1,4 @@
-/** What a platform stand-in was asked, for tests to assert on. */
+/** Calls that a platform stand-in received, for tests to assert on. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {
@@ -7,19 +7,19 @@
 } from '@snipestage/types/platform_messages.js';
 import type {Call} from '../http/stand_in_server.js';
 
-/** One order or report, each time that it arrived. */
+/** One arrival of an order or report. */
 export interface Received<T> {
   readonly receivedAtEpochMs: number;
-  /** Headers without the token; says who sent it. */
+  /** Headers without the token; they identify the sender. */
   readonly headers: IncomingHttpHeaders;
-  /** The status that answered it. */
+  /** The status of the answer. */
   readonly status: number;
-  /** Whether its answer was lost. */
+  /** Whether the answer was lost by the fault `lose_answer`. */
   readonly answerLost: boolean;
   readonly content: T;
 }
 
-/** How often each kind of call came. */
+/** Number of calls of each kind. */
 export interface CallCounts {
   reads: number;
   scans: number;
@@ -43,8 +43,8 @@
   };
 }
 
-/** Notes what a call carried and how it was answered. */
-export function received<T>(
+/** Makes the log entry of a call: its content and how it was answered. */
+export function toReceived<T>(
   call: Call,
   content: T,
   status: number,
--- a/packages/stand_ins/src/platform/platform_stand_in.test.ts
+++ b/packages/stand_ins/src/platform/platform_stand_in.test.ts
@@ -16,7 +16,7 @@
   return {platform, client};
 }
 
-test('a transaction commits whole or not at all', async t => {
+test('a transaction commits if its checks hold, otherwise it returns the rows', async t => {
   const {platform, client} = await startPlatform();
   const write = (checks: object[]) =>
     client.post('v1/table/transact', {
@@ -36,7 +36,7 @@
   await platform.stop();
 });
 
-test('a wrong token is turned away', async t => {
+test('a call with a wrong token is answered 401', async t => {
   const {platform, client} = await startPlatform();
   const answer = await client.get('v1/instances', {
     headers: {authorization: 'Bearer other'},
@@ -45,7 +45,7 @@
   await platform.stop();
 });
 
-test('a window is reported with one set of figures only', async t => {
+test('a second report of a window with other figures is refused', async t => {
   const {platform, client} = await startPlatform();
   const report = (requests: number) =>
     client.post('v1/usage-reports', {json: {window: 'w1', lines: [requests]}});
@@ -55,7 +55,7 @@
   await platform.stop();
 });
 
-test('objects come back byte by byte', async t => {
+test('objects are returned byte for byte', async t => {
   const {platform, client} = await startPlatform();
   const body = Buffer.from([0, 255, 7]);
   await client.put('v1/objects/answers/1%2F2', {body});
@@ -65,7 +65,7 @@
   await platform.stop();
 });
 
-test('a write takes effect though its answer is lost, for some keys', async t => {
+test('a write takes effect although its answer is lost, for matching keys only', async t => {
   const {platform, client} = await startPlatform();
   const write = (key: string) =>
     client.post('v1/table/transact', {
@@ -81,7 +81,7 @@
   await platform.stop();
 });
 
-test('lists lag', async t => {
+test('lists show changes only after the lag', async t => {
   const {platform, client} = await startPlatform();
   const instance = {id: 'akl-a-1', dataCentre: 'akl-a', state: 'live'};
   const list = () => client.get('v1/instances').json<object>();
@@ -93,7 +93,7 @@
   await platform.stop();
 });
 
-test('an order is carried out once and cheap endpoints can be reclaimed', async t => {
+test('a repeated order is carried out once and cheap endpoints can be reclaimed', async t => {
   const platform = new PlatformStandIn({
     endpoints: {makeEndpoint: () => new EngineStandIn(), startDelayMs: 0},
   });
--- a/packages/stand_ins/src/platform/platform_stand_in.ts
+++ b/packages/stand_ins/src/platform/platform_stand_in.ts
@@ -1,4 +1,4 @@
-/** Takes the platform's place: table, objects, orders, reports and lists. */
+/** A stand-in for the platform: table, objects, orders, reports and lists. */
 
 import type {IncomingMessage} from 'node:http';
 import type {
@@ -23,10 +23,10 @@
   platformControlSchema,
   type PlatformControl,
 } from './platform_control.js';
-import {PlatformLog, received} from './platform_log.js';
+import {PlatformLog, toReceived} from './platform_log.js';
 import {Table} from './table.js';
 
-/** How a platform stand-in starts. */
+/** Options of {@link PlatformStandIn}. */
 export interface PlatformStandInOptions extends ListenOptions {
   readonly token?: string;
   readonly instances?: readonly ListedInstance[];
@@ -38,7 +38,7 @@
 
 const OBJECTS_PATH = '/v1/objects/';
 
-/** Keeps everything in memory; a new one is empty. */
+/** Keeps all state in memory; a new stand-in's table and objects are empty. */
 export class PlatformStandIn extends StandInServer {
   readonly token: string;
   readonly table = new Table();
@@ -77,7 +77,7 @@
   }
 
   /**
-   * Changes what is listed, what fails and what can be had.
+   * Changes lists, faults and the availability of cheap endpoints.
    *
    * @example
    * platform.control({faults: {table: {mode: 'lose_answer', count: 1}}});
@@ -97,7 +97,7 @@
     if (reclaimCheap !== undefined) this.provisioner.reclaimCheap(reclaimCheap);
   }
 
-  protected override obey(command: unknown): void {
+  protected override applyControl(command: unknown): void {
     this.control(platformControlSchema.parse(command));
   }
 
@@ -194,7 +194,7 @@
       run: call => {
         const order = parseJson<EndpointOrder>(call.body);
         const answer = this.orderAnswers.get(order.id) ?? this.carryOut(order);
-        this.log.orders.push(received(call, order, answer.status));
+        this.log.orders.push(toReceived(call, order, answer.status));
         return answer;
       },
     });
@@ -205,13 +205,16 @@
       run: call => {
         const report = parseJson<UsageReport>(call.body);
         const answer = this.takeReport(report);
-        this.log.reports.push(received(call, report, answer.status));
+        this.log.reports.push(toReceived(call, report, answer.status));
         return answer;
       },
     });
   }
 
-  /** An order that was carried out is known by its id and not repeated. */
+  /**
+   * Carries out an order. The answer to an accepted order is stored by its id,
+   * so that a repeat is not carried out again.
+   */
   private carryOut(order: EndpointOrder): Answer {
     const reason = this.provisioner.carryOut(order);
     if (reason !== undefined) return {status: 422, body: {reason}};
--- a/packages/stand_ins/src/platform/table.ts
+++ b/packages/stand_ins/src/platform/table.ts
@@ -11,14 +11,14 @@
   | {readonly kind: 'conflict'; readonly rows: readonly Row[]};
 
 interface StoredRow {
-  /** Goes on rising when the row is deleted and written again. */
+  /** Keeps increasing when the row is deleted and written again. */
   version: number;
   value: unknown;
 }
 
-/** Rows with versions; `null` stands for a deleted one. */
+/** Rows with versions; a row with the value `null` is deleted. */
 export class Table {
-  private readonly stored = new Map<string, StoredRow>();
+  private readonly storedRows = new Map<string, StoredRow>();
 
   /**
    * Reads rows by key; absent ones are left out.
@@ -37,12 +37,14 @@
    * table.scan('lease/');
    */
   scan(prefix: string): Row[] {
-    const keys = [...this.stored.keys()].filter(key => key.startsWith(prefix));
+    const keys = [...this.storedRows.keys()].filter(key =>
+      key.startsWith(prefix),
+    );
     return this.read(keys.sort());
   }
 
   /**
-   * Writes everything if all checks hold, else nothing.
+   * Writes everything if all checks hold, otherwise nothing.
    *
    * @example
    * table.transact({
@@ -57,15 +59,15 @@
     if (failed.length > 0) return {kind: 'conflict', rows: failed};
     const versions: Record<string, number> = {};
     for (const {key, value} of transaction.writes) {
-      const version = (this.stored.get(key)?.version ?? 0) + 1;
-      this.stored.set(key, {version, value});
+      const version = (this.storedRows.get(key)?.version ?? 0) + 1;
+      this.storedRows.set(key, {version, value});
       versions[key] = version;
     }
     return {kind: 'committed', versions};
   }
 
   private rowOf(key: string): Row {
-    const row = this.stored.get(key);
+    const row = this.storedRows.get(key);
     if (row === undefined || row.value === null) {
       return {key, version: 0, value: null};
     }
--- a/packages/stand_ins/src/quickstart/surroundings.ts
+++ b/packages/stand_ins/src/quickstart/environment.ts
@@ -1,12 +1,12 @@
-/** Everything that the quickstart runs: stand-ins and three entry processes. */
+/** The processes of the quickstart: stand-ins and three entry processes. */
 
 import {generateKey, hashKey} from '@snipestage/configuration/key_hash.js';
 import {Deployment} from '../launch/deployment.js';
 import type {LaunchedStandIn, Launcher} from '../launch/launcher.js';
 import type {SampleValues} from './sample_ticket.js';
 
-/** What is running, and the keys made for it. */
-export interface Surroundings {
+/** The running processes and the keys generated for them. */
+export interface QuickstartEnvironment {
   readonly platform: LaunchedStandIn;
   readonly bookingUrls: readonly string[];
   readonly portalUrls: readonly string[];
@@ -30,14 +30,14 @@
 const REPORT_ENGINES = 6;
 
 /**
- * Starts it all.
+ * Starts the stand-ins and the entry processes, and generates the keys.
  *
  * @example
- * const surroundings = await startSurroundings(launcher);
+ * const environment = await startEnvironment(launcher);
  */
-export async function startSurroundings(
+export async function startEnvironment(
   launcher: Launcher,
-): Promise<Surroundings> {
+): Promise<QuickstartEnvironment> {
   const count = String(REPAIR_ENGINES + REPORT_ENGINES);
   const bookings = DATA_CENTRES.map(() => launcher.launchStandIn('service'));
   const portals = DATA_CENTRES.map(() =>
--- a/packages/stand_ins/src/quickstart/main.ts
+++ b/packages/stand_ins/src/quickstart/main.ts
@@ -1,17 +1,17 @@
-/** Starts everything on this machine, makes sample calls and stays up. */
+/** Starts all processes on this machine, makes sample calls and stays up. */
 
 import {Command} from 'commander';
 import {Launcher} from '../launch/launcher.js';
 import {describeNextSteps} from './next_steps.js';
 import {makeSampleCalls} from './sample_calls.js';
 import {readSampleTicket} from './sample_ticket.js';
-import {startSurroundings, type Surroundings} from './surroundings.js';
+import {startEnvironment, type QuickstartEnvironment} from './environment.js';
 
 const SAMPLES = ['kowhai_ticket', 'trilha_ticket'];
 
 async function submitSamples(
   launcher: Launcher,
-  {deployment, operatorKey, sampleValues}: Surroundings,
+  {deployment, operatorKey, sampleValues}: QuickstartEnvironment,
 ): Promise<boolean> {
   let allAccepted = true;
   for (const name of SAMPLES) {
@@ -30,12 +30,12 @@
 
 async function runSamples(
   launcher: Launcher,
-  surroundings: Surroundings,
+  environment: QuickstartEnvironment,
 ): Promise<boolean> {
-  const accepted = await submitSamples(launcher, surroundings);
+  const accepted = await submitSamples(launcher, environment);
   if (!accepted) return false;
-  await surroundings.deployment.waitForRevision(SAMPLES.length);
-  const outcomes = await makeSampleCalls(surroundings);
+  await environment.deployment.waitForRevision(SAMPLES.length);
+  const outcomes = await makeSampleCalls(environment);
   for (const {detail, ok, title} of outcomes) {
     console.log(`${ok ? 'ok' : 'NOT OK'}: ${title}\n  ${detail}`);
   }
@@ -49,14 +49,14 @@
   process.once('SIGTERM', close);
   try {
     console.log('Starting stand-ins and three entry processes ...');
-    const surroundings = await startSurroundings(launcher);
-    const allOk = await runSamples(launcher, surroundings);
+    const environment = await startEnvironment(launcher);
+    const allOk = await runSamples(launcher, environment);
     if (options.once === true) {
       process.exitCode = allOk ? 0 : 1;
       await launcher.close();
       return;
     }
-    console.log(`\n${describeNextSteps(surroundings)}\n\nCtrl-C ends it all.`);
+    console.log(`\n${describeNextSteps(environment)}\n\nCtrl-C ends it all.`);
   } catch (error) {
     await launcher.close();
     throw error;
--- a/packages/stand_ins/src/quickstart/next_steps.ts
+++ b/packages/stand_ins/src/quickstart/next_steps.ts
@@ -1,15 +1,15 @@
-/** What the quickstart tells of how to go on by hand. */
+/** Commands that the quickstart suggests for further manual calls. */
 
-import type {Surroundings} from './surroundings.js';
+import type {QuickstartEnvironment} from './environment.js';
 
 /**
- * Commands that work while the quickstart runs.
+ * Lists the processes and commands to try while the quickstart runs.
  *
  * @example
- * console.log(describeNextSteps(surroundings));
+ * console.log(describeNextSteps(environment));
  */
-export function describeNextSteps(surroundings: Surroundings): string {
-  const {accountKeys, deployment, operatorKey, platform} = surroundings;
+export function describeNextSteps(environment: QuickstartEnvironment): string {
+  const {accountKeys, deployment, operatorKey, platform} = environment;
   const [entry] = deployment.entries;
   const key = accountKeys['gear-menders-harbour'];
   const lines = deployment.entries.map(
--- a/packages/stand_ins/src/quickstart/sample_calls.ts
+++ b/packages/stand_ins/src/quickstart/sample_calls.ts
@@ -1,10 +1,10 @@
-/** The calls that the quickstart makes, as callers of both firms would. */
+/** The sample calls of the quickstart, from accounts of both sample tickets. */
 
 import got, {type Response} from 'got';
 import {streamCompletion} from '../client/stream_client.js';
-import type {Surroundings} from './surroundings.js';
+import type {QuickstartEnvironment} from './environment.js';
 
-/** One call and what came of it. */
+/** The outcome of one sample call. */
 export interface SampleOutcome {
   readonly title: string;
   readonly ok: boolean;
@@ -17,43 +17,43 @@
  * Makes every sample call, one after the other.
  *
  * @example
- * for (const outcome of await makeSampleCalls(surroundings)) print(outcome);
+ * for (const outcome of await makeSampleCalls(environment)) print(outcome);
  */
 export async function makeSampleCalls(
-  surroundings: Surroundings,
+  environment: QuickstartEnvironment,
 ): Promise<SampleOutcome[]> {
   return [
-    await streamChat(surroundings, {
+    await streamChat(environment, {
       title: 'counter question, streamed through akl-a',
       entry: 0,
       account: 'gear-menders-harbour',
       model: 'repair',
       question: 'Can a torn tent fly be patched before Friday?',
     }),
-    await streamChat(surroundings, {
+    await streamChat(environment, {
       title: 'defect report, streamed through akl-c',
       entry: 2,
       account: 'concessionaria-litoral',
       model: 'report',
       question: 'Report the cracks on segment 12 of BR-101.',
     }),
-    await postTwice(surroundings, {
+    await postTwice(environment, {
       title: 'booking sent twice under one key through akl-b',
       account: 'gear-menders-central',
       path: '/services/booking/bookings',
       content: {item: 'tent', customer: 'walk-in 7'},
       resource: 'bookings',
-      serviceUrls: surroundings.bookingUrls,
+      serviceUrls: environment.bookingUrls,
     }),
-    await postTwice(surroundings, {
+    await postTwice(environment, {
       title: 'work order sent twice under one key through akl-b',
       account: 'inspetoria-estadual',
       path: '/services/work-orders/work-orders',
       content: {segment: 12, work: 'seal cracks'},
       resource: 'work-orders',
-      serviceUrls: surroundings.portalUrls,
+      serviceUrls: environment.portalUrls,
     }),
-    await callWithWrongKey(surroundings),
+    await callWithWrongKey(environment),
   ];
 }
 
@@ -66,7 +66,7 @@
 }
 
 async function streamChat(
-  {accountKeys, deployment}: Surroundings,
+  {accountKeys, deployment}: QuickstartEnvironment,
   sample: ChatSample,
 ): Promise<SampleOutcome> {
   const result = await streamCompletion({
@@ -96,7 +96,7 @@
 }
 
 async function postTwice(
-  {accountKeys, deployment}: Surroundings,
+  {accountKeys, deployment}: QuickstartEnvironment,
   sample: PostSample,
 ): Promise<SampleOutcome> {
   const post = (): Promise<Response<string>> =>
@@ -130,7 +130,7 @@
 
 async function callWithWrongKey({
   deployment,
-}: Surroundings): Promise<SampleOutcome> {
+}: QuickstartEnvironment): Promise<SampleOutcome> {
   const answer = await got.post(
     `${deployment.entries[0].callersUrl}/v1/chat/completions`,
     {
--- a/packages/stand_ins/src/random.ts
+++ b/packages/stand_ins/src/random.ts
@@ -1,6 +1,6 @@
-/** Seeded random numbers, the same at every run. */
+/** Seeded random numbers: one seed gives the same numbers in every run. */
 
-/** Gives numbers from 0 up to, but not including, 1. */
+/** Returns uniformly distributed numbers from 0 up to, but not including, 1. */
 export type RandomSource = () => number;
 
 const GOLDEN_RATIO = 0x9e3779b9;
--- a/packages/stand_ins/src/service/service_stand_in.test.ts
+++ b/packages/stand_ins/src/service/service_stand_in.test.ts
@@ -2,9 +2,9 @@
 import got from 'got';
 import {ServiceStandIn} from './service_stand_in.js';
 
-test('a booking whose answer was lost and that is sent again is double', async t => {
-  // The service books, and the connection breaks before it answers. A caller
-  // that sends again charges the customer twice.
+test('a booking that is sent again after a lost answer is recorded twice', async t => {
+  // The service makes the booking, and the connection breaks before the answer.
+  // A caller that sends the request again charges the customer twice.
   const service = new ServiceStandIn();
   await service.start();
   const book = () =>
--- a/packages/stand_ins/src/service/service_stand_in.ts
+++ b/packages/stand_ins/src/service/service_stand_in.ts
@@ -1,4 +1,4 @@
-/** Takes a plain service's place: a booking app whose doubles can be seen. */
+/** A stand-in for a plain service: a booking app that shows duplicates. */
 
 import type {Request} from 'restify';
 import {z} from 'zod';
@@ -10,13 +10,13 @@
   type ListenOptions,
 } from '../http/stand_in_server.js';
 
-/** How a service stand-in starts. */
+/** Options of {@link ServiceStandIn}. */
 export interface ServiceStandInOptions extends ListenOptions {
-  /** Path under which records are made, such as `work-orders`. */
+  /** Path under which records are created, such as `work-orders`. */
   readonly resource?: string;
 }
 
-/** A booking or work order as the service keeps it. */
+/** A booking or work order as stored by the service. */
 export interface ServiceRecord {
   readonly id: string;
   readonly requestId: string | undefined;
@@ -33,9 +33,9 @@
 export type ServiceControl = z.output<typeof serviceControlSchema>;
 
 const DEFAULT_RESOURCE = 'bookings';
-const STOCK_OF_EVERY_ITEM = 3;
+const STOCK_COUNT_PER_ITEM = 3;
 
-/** Each POST that reaches it makes a record, a repeated one as well. */
+/** Each POST that takes effect creates a record, even a repeated one. */
 export class ServiceStandIn extends StandInServer {
   readonly records: ServiceRecord[] = [];
   private readonly resource: string;
@@ -60,7 +60,7 @@
       area: 'stock',
       run: ({request}) => {
         const item = String(request.params.item);
-        return {status: 200, body: {item, inStock: STOCK_OF_EVERY_ITEM}};
+        return {status: 200, body: {item, inStock: STOCK_COUNT_PER_ITEM}};
       },
     });
     this.serve({
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Contents that were recorded more than once; each is a fault of the router
-   * when its callers sent it once.
+   * Returns contents that were recorded more than once. If its caller sent such
+   * a content only once, the router is at fault.
    *
    * @example
    * t.deepEqual(service.doubles(), []);
@@ -102,7 +102,7 @@
     }
   }
 
-  protected override obey(command: unknown): void {
+  protected override applyControl(command: unknown): void {
     this.control(serviceControlSchema.parse(command));
   }
 
