--- a/packages/stand_ins/src/engine/batch.ts
+++ b/packages/stand_ins/src/engine/batch.ts
@@ -26,7 +26,7 @@
 const DEFAULT_MAX_BATCH = 16;
 const DEFAULT_BETWEEN_TOKENS_MS = 10;
 const DEFAULT_PER_RUNNING_MS = 0.5;
-const DEFAULT_PREFILL_MS = 0.05;
+const DEFAULT_PREFILL_PER_TOKEN_MS = 0.05;
 
 /** Queues sequences by priority, then arrival, and runs them in steps. */
 export class Batch {
@@ -45,7 +45,8 @@
       betweenTokensMs: options.betweenTokensMs ?? DEFAULT_BETWEEN_TOKENS_MS,
       betweenTokensPerRunningMs:
         options.betweenTokensPerRunningMs ?? DEFAULT_PER_RUNNING_MS,
-      prefillPerTokenMs: options.prefillPerTokenMs ?? DEFAULT_PREFILL_MS,
+      prefillPerTokenMs:
+        options.prefillPerTokenMs ?? DEFAULT_PREFILL_PER_TOKEN_MS,
     };
   }
 
--- a/packages/stand_ins/src/http/stand_in_server.ts
+++ b/packages/stand_ins/src/http/stand_in_server.ts
@@ -133,8 +133,7 @@
       const keys = route.keysOf?.(request, body) ?? [];
       const fault = this.faults.consume(route.area, keys);
       const call = {request, response, body, fault};
-      if (!this.isAuthorized(call) || !(await applyPreEffectFault(call)))
-        return;
+      if (!this.isAuthorized(call) || !(await applyEarlyFault(call))) return;
       const answer = await route.run(call);
       if (answer === undefined) return;
       if (fault.mode === 'lose_answer') resetSocket(call);
@@ -183,7 +182,7 @@
  *
  * @returns whether the call is to be carried out.
  */
-async function applyPreEffectFault(call: Call): Promise<boolean> {
+async function applyEarlyFault(call: Call): Promise<boolean> {
   const {mode, delayMs = 0} = call.fault;
   switch (mode) {
     case 'down':
--- a/packages/stand_ins/src/lagged_value.ts
+++ b/packages/stand_ins/src/lagged_value.ts
@@ -43,9 +43,9 @@
   }
 
   private visibleIndexAt(nowEpochMs: number): number {
-    const seenEpochMs = nowEpochMs - this.lagMs;
+    const visibleEpochMs = nowEpochMs - this.lagMs;
     const at = this.versions.findLastIndex(
-      version => version.sinceEpochMs <= seenEpochMs,
+      version => version.sinceEpochMs <= visibleEpochMs,
     );
     return Math.max(0, at);
   }
--- a/packages/stand_ins/src/launch/free_ports.test.ts
+++ b/packages/stand_ins/src/launch/free_ports.test.ts
@@ -5,15 +5,18 @@
 import {pickFreePorts, PortPicker} from './free_ports.js';
 import {Launcher} from './launcher.js';
 
-const CHILD = fileURLToPath(
+const CHILD_SCRIPT = fileURLToPath(
   new URL('./test_support/pick_ports_child.js', import.meta.url),
 );
-const PROCESSES = 8;
+const PROCESS_COUNT = 8;
 const PORTS_PER_PROCESS = 250;
 
 /** Starts a process that picks ports and keeps their blocks reserved. */
 async function startPicker(launcher: Launcher, ...args: readonly number[]) {
-  const picker = launcher.launch({script: CHILD, args: args.map(String)});
+  const picker = launcher.launch({
+    script: CHILD_SCRIPT,
+    args: args.map(String),
+  });
   const {ports} = await picker.firstJsonLine<{ports: number[]}>();
   return {process: picker, ports};
 }
@@ -26,12 +29,12 @@
   const launcher = new Launcher();
   t.teardown(() => launcher.close());
   const pickers = await Promise.all(
-    Array.from({length: PROCESSES}, () =>
+    Array.from({length: PROCESS_COUNT}, () =>
       startPicker(launcher, PORTS_PER_PROCESS),
     ),
   );
   const ports = pickers.flatMap(picker => picker.ports);
-  t.is(new Set(ports).size, PROCESSES * PORTS_PER_PROCESS);
+  t.is(new Set(ports).size, PROCESS_COUNT * PORTS_PER_PROCESS);
 });
 
 /** Returns the lower of two adjacent ports reserved for this process. */
@@ -62,9 +65,9 @@
   // A process may outlive the killed test that started it. Another process that
   // is given the same port fails to start.
   const lowestPort = await pickNeighbours();
-  const stranger = createServer();
-  t.teardown(() => stranger.close());
-  await listenOn(stranger, lowestPort + 1, '127.0.0.1');
+  const otherServer = createServer();
+  t.teardown(() => otherServer.close());
+  await listenOn(otherServer, lowestPort + 1, '127.0.0.1');
   const picker = new PortPicker({lowestPort, blocks: 1, portsPerBlock: 2});
   await t.throwsAsync(picker.pick(1), {message: /all blocks/});
 });
--- a/packages/stand_ins/src/launch/free_ports.ts
+++ b/packages/stand_ins/src/launch/free_ports.ts
@@ -20,7 +20,7 @@
 
 const HOST = '127.0.0.1';
 const DEFAULT_LOWEST_PORT = 12_000;
-const DEFAULT_BLOCKS = 200;
+const DEFAULT_BLOCK_COUNT = 200;
 const DEFAULT_PORTS_PER_BLOCK = 100;
 
 /**
@@ -41,7 +41,7 @@
 
   constructor(options: PortPickerOptions = {}) {
     this.lowestPort = options.lowestPort ?? DEFAULT_LOWEST_PORT;
-    this.blocks = options.blocks ?? DEFAULT_BLOCKS;
+    this.blocks = options.blocks ?? DEFAULT_BLOCK_COUNT;
     this.portsPerBlock = options.portsPerBlock ?? DEFAULT_PORTS_PER_BLOCK;
   }
 
--- a/packages/stand_ins/src/link/link.ts
+++ b/packages/stand_ins/src/link/link.ts
@@ -39,8 +39,8 @@
   readonly client: Socket;
   readonly target: Socket;
   /**
-   * Whether bytes are discarded for good, as when a device on the path has lost
-   * the state of the connection.
+   * Whether bytes, ends and resets are discarded for good, as when a device on
+   * the path has lost the state of the connection.
    */
   isSilent: boolean;
   /** Actions held back while their direction is dropped, in order. */
@@ -139,11 +139,11 @@
     const held = {to_target: [], to_client: []};
     const relay: Relay = {client, target, isSilent: false, held};
     this.relays.add(relay);
-    this.pump(relay, client, target, 'to_target');
-    this.pump(relay, target, client, 'to_client');
+    this.forward(relay, client, target, 'to_target');
+    this.forward(relay, target, client, 'to_client');
   }
 
-  private pump(
+  private forward(
     relay: Relay,
     from: Socket,
     to: Socket,
--- a/packages/stand_ins/src/quickstart/environment.ts
+++ b/packages/stand_ins/src/quickstart/environment.ts
@@ -26,8 +26,8 @@
   'inspetoria-estadual',
   'equipe-de-campo',
 ];
-const REPAIR_ENGINES = 8;
-const REPORT_ENGINES = 6;
+const REPAIR_ENGINE_COUNT = 8;
+const REPORT_ENGINE_COUNT = 6;
 
 /**
  * Starts the stand-ins and the entry processes, and generates the keys.
@@ -38,7 +38,7 @@
 export async function startEnvironment(
   launcher: Launcher,
 ): Promise<QuickstartEnvironment> {
-  const count = String(REPAIR_ENGINES + REPORT_ENGINES);
+  const count = String(REPAIR_ENGINE_COUNT + REPORT_ENGINE_COUNT);
   const bookings = DATA_CENTRES.map(() => launcher.launchStandIn('service'));
   const portals = DATA_CENTRES.map(() =>
     launcher.launchStandIn('service', {resource: 'work-orders'}),
@@ -60,8 +60,8 @@
     dataCentres: DATA_CENTRES,
   });
   const urls = {
-    repair: engines.urls.slice(0, REPAIR_ENGINES),
-    report: engines.urls.slice(REPAIR_ENGINES),
+    repair: engines.urls.slice(0, REPAIR_ENGINE_COUNT),
+    report: engines.urls.slice(REPAIR_ENGINE_COUNT),
     booking: bookingUrls,
     portal: portalUrls,
   };
--- a/packages/stand_ins/src/quickstart/main.ts
+++ b/packages/stand_ins/src/quickstart/main.ts
@@ -7,14 +7,14 @@
 import {readSampleTicket} from './sample_ticket.js';
 import {startEnvironment, type QuickstartEnvironment} from './environment.js';
 
-const SAMPLES = ['kowhai_ticket', 'trilha_ticket'];
+const SAMPLE_TICKETS = ['kowhai_ticket', 'trilha_ticket'];
 
 async function submitSamples(
   launcher: Launcher,
   {deployment, operatorKey, sampleValues}: QuickstartEnvironment,
 ): Promise<boolean> {
   let allAccepted = true;
-  for (const name of SAMPLES) {
+  for (const name of SAMPLE_TICKETS) {
     const file = launcher.writeFile(readSampleTicket(name, sampleValues));
     const {adminUrl} = deployment.entries[0];
     const result = await launcher.runCommand(
@@ -34,7 +34,7 @@
 ): Promise<boolean> {
   const accepted = await submitSamples(launcher, environment);
   if (!accepted) return false;
-  await environment.deployment.waitForRevision(SAMPLES.length);
+  await environment.deployment.waitForRevision(SAMPLE_TICKETS.length);
   const outcomes = await makeSampleCalls(environment);
   for (const {detail, ok, title} of outcomes) {
     console.log(`${ok ? 'ok' : 'NOT OK'}: ${title}\n  ${detail}`);
--- a/packages/stand_ins/src/quickstart/sample_calls.ts
+++ b/packages/stand_ins/src/quickstart/sample_calls.ts
@@ -11,7 +11,7 @@
   readonly detail: string;
 }
 
-const SAMPLE_TOKENS = 12;
+const SAMPLE_TOKEN_COUNT = 12;
 
 /**
  * Makes every sample call, one after the other.
@@ -74,14 +74,14 @@
     headers: {authorization: `Bearer ${accountKeys[sample.account]}`},
     body: {
       model: sample.model,
-      max_tokens: SAMPLE_TOKENS,
+      max_tokens: SAMPLE_TOKEN_COUNT,
       messages: [{role: 'user', content: sample.question}],
     },
   });
   const tokens = result.tokenAtMs.length;
   return {
     title: sample.title,
-    ok: result.isWhole && tokens === SAMPLE_TOKENS,
+    ok: result.isWhole && tokens === SAMPLE_TOKEN_COUNT,
     detail: `${result.status}, ${tokens} tokens: ${result.text}`,
   };
 }
--- a/packages/stand_ins/src/random.ts
+++ b/packages/stand_ins/src/random.ts
@@ -3,7 +3,7 @@
 /** Returns uniformly distributed numbers from 0 up to, but not including, 1. */
 export type RandomSource = () => number;
 
-const GOLDEN_RATIO = 0x9e3779b9;
+const GOLDEN_RATIO_INCREMENT = 0x9e3779b9;
 const TWO_POW_32 = 2 ** 32;
 
 /**
@@ -16,7 +16,7 @@
 export function seededRandom(seed: number): RandomSource {
   let state = seed | 0;
   return () => {
-    state = (state + GOLDEN_RATIO) | 0;
+    state = (state + GOLDEN_RATIO_INCREMENT) | 0;
     let mixed = state ^ (state >>> 16);
     mixed = Math.imul(mixed, 0x21f0aaad);
     mixed ^= mixed >>> 15;
