--- a/packages/stand_ins/src/launch/launcher.ts
+++ b/packages/stand_ins/src/launch/launcher.ts
@@ -120,7 +120,7 @@
    * const entry = await launcher.launchEntry({settings});
    */
   async launchEntry(options: LaunchEntryOptions): Promise<LaunchedEntry> {
-    const {settings, waitUntilListening: waitUntilUp = true} = options;
+    const {settings, waitUntilListening = true} = options;
     const file = this.writeFile(settings);
     const launched = this.launch({
       script: ENTRY_SCRIPT,
@@ -132,7 +132,7 @@
       callersUrl: `http://127.0.0.1:${settings.callers.port}`,
       adminUrl: `http://127.0.0.1:${settings.admin.port}`,
     };
-    if (waitUntilUp) await this.waitForStatus(entry, '/healthz');
+    if (waitUntilListening) await this.waitForStatus(entry, '/healthz');
     return entry;
   }
 
