--- a/packages/policy/src/cell_owner.ts
+++ b/packages/policy/src/cell_owner.ts
@@ -30,7 +30,7 @@
   /** Dispatch order, endpoint choice and limits; `tiered` by default. */
   readonly policy?: PolicySet;
   readonly maxWaiting?: number;
-  /** How long to wait for instances to report what they hold; 0 disables it. */
+  /** Longest wait for instances to report what they hold; 0 disables it. */
   readonly graceMs?: number;
   /** Whether instances get allotments while nothing waits. */
   readonly standingAllotments?: boolean;
--- a/packages/policy/src/endpoint_plan.ts
+++ b/packages/policy/src/endpoint_plan.ts
@@ -181,8 +181,8 @@
 }
 
 /**
- * Applies limits that operators set at once: the waiting time is meant for
- * demand, which fluctuates, not for operators' tickets.
+ * Operators' limits apply immediately: the waiting time is meant for demand,
+ * which fluctuates, not for operators' tickets.
  */
 function clampToPoolLimits(
   held: DampedCount,
--- a/packages/policy/src/endpoint_plan_supply.ts
+++ b/packages/policy/src/endpoint_plan_supply.ts
@@ -96,7 +96,7 @@
 }
 
 /**
- * The first is always within the share: regular ones take over if it is lost.
+ * The first one may exceed the share: regular ones take over if it is lost.
  */
 function hasRoomForCheap(need: PoolNeed, mostPerPool: number): boolean {
   if (need.cheap >= need.cheapLimit) return false;
--- a/packages/policy/src/hedging.test.ts
+++ b/packages/policy/src/hedging.test.ts
@@ -60,13 +60,13 @@
 // then and delay callers further.
 test('hedges stay within the budget and stop while requests wait', t => {
   const budget = new TokenBucket(DEFAULT_HEDGE_BUDGET);
-  const moment = {firstTokenSeen: false, waitingInCell: 0, budget, nowMs: 0};
-  t.like(decideHedge({...moment, firstTokenSeen: true}), {reason: 'answered'});
-  t.like(decideHedge({...moment, waitingInCell: 1}), {reason: 'busy'});
+  const input = {firstTokenSeen: false, waitingInCell: 0, budget, nowMs: 0};
+  t.like(decideHedge({...input, firstTokenSeen: true}), {reason: 'answered'});
+  t.like(decideHedge({...input, waitingInCell: 1}), {reason: 'busy'});
   let hedges = 0;
   for (let count = 0; count < 1000; count++) {
     budget.deposit(0);
-    if (decideHedge(moment).kind === 'hedge') hedges += 1;
+    if (decideHedge(input).kind === 'hedge') hedges += 1;
   }
   t.true(hedges >= 50 && hedges <= 55, `${hedges} hedges`);
 });
--- a/packages/policy/src/permit_book.ts
+++ b/packages/policy/src/permit_book.ts
@@ -1,5 +1,6 @@
 /**
- * Permits that are held in a cell, and the allotments sent to its instances.
+ * Permits that are held in a cell, and the allotments sent to its instances:
+ * permits that an instance may use without requesting them.
  */
 
 import type {
--- a/packages/policy/src/standing_allotments.ts
+++ b/packages/policy/src/standing_allotments.ts
@@ -13,7 +13,8 @@
 const UNALLOTTED_SHARE = 0.25;
 /**
  * A change of fewer permits than this, or by less than {@link MIN_CHANGE_SHARE}
- * of the allotment, is not worth a message, unless it is from or to zero.
+ * of the allotment, is not worth a message, unless it is from or to zero or
+ * a reduction at an endpoint that has more permits reserved than its limit.
  */
 const MIN_CHANGE_COUNT = 2;
 const MIN_CHANGE_SHARE = 0.25;
--- a/packages/policy/src/stop_admission.test.ts
+++ b/packages/policy/src/stop_admission.test.ts
@@ -40,8 +40,8 @@
 
 for (const [title, limit, nowMs, expected] of TABLE) {
   test(`while stopping, ${title}`, t => {
-    const question = {limit, nowMs, stopEndsAtMs: STOP_ENDS_AT_MS};
-    t.deepEqual(decideStart(question), expected);
+    const input = {limit, nowMs, stopEndsAtMs: STOP_ENDS_AT_MS};
+    t.deepEqual(decideStart(input), expected);
   });
 }
 
--- a/packages/policy/src/suspects.test.ts
+++ b/packages/policy/src/suspects.test.ts
@@ -27,7 +27,7 @@
   return brandAs<Fingerprint>(name);
 }
 
-function judgements(table: SuspectTable, nowMs: number, ...names: string[]) {
+function decisionsOf(table: SuspectTable, nowMs: number, ...names: string[]) {
   return names.map(name => table.classify(print(name), nowMs).kind);
 }
 
@@ -36,14 +36,14 @@
 test('a request that crashes endpoints is refused after two', t => {
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'poison', 'a', 'b')], 0);
-  t.deepEqual(judgements(table, 0, 'poison', 'a', 'other'), [
+  t.deepEqual(decisionsOf(table, 0, 'poison', 'a', 'other'), [
     'run_alone',
     'run_alone',
     'clear',
   ]);
   table.markFinished(print('a'));
   table.merge([crashOf('e2', 'poison')], 8000);
-  t.deepEqual(judgements(table, 8000, 'poison', 'a', 'b'), [
+  t.deepEqual(decisionsOf(table, 8000, 'poison', 'a', 'b'), [
     'refuse',
     'clear',
     'run_alone',
@@ -56,9 +56,9 @@
 test('the refusal ends first, then the crash is evicted', t => {
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'p'), crashOf('e2', 'p')], 0);
-  t.deepEqual(judgements(table, 10 * MINUTE_MS - 1, 'p'), ['refuse']);
-  t.deepEqual(judgements(table, 10 * MINUTE_MS, 'p'), ['run_alone']);
-  t.deepEqual(judgements(table, 20 * MINUTE_MS, 'p'), ['clear']);
+  t.deepEqual(decisionsOf(table, 10 * MINUTE_MS - 1, 'p'), ['refuse']);
+  t.deepEqual(decisionsOf(table, 10 * MINUTE_MS, 'p'), ['run_alone']);
+  t.deepEqual(decisionsOf(table, 20 * MINUTE_MS, 'p'), ['clear']);
   t.is(table.size, 0);
 });
 
@@ -67,9 +67,9 @@
 test('two requests in both crashes run alone until one is cleared', t => {
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'p', 'a'), crashOf('e2', 'p', 'a')], 0);
-  t.deepEqual(judgements(table, 0, 'p', 'a'), ['run_alone', 'run_alone']);
+  t.deepEqual(decisionsOf(table, 0, 'p', 'a'), ['run_alone', 'run_alone']);
   table.markFinished(print('a'));
-  t.deepEqual(judgements(table, 0, 'p', 'a'), ['refuse', 'clear']);
+  t.deepEqual(decisionsOf(table, 0, 'p', 'a'), ['refuse', 'clear']);
 });
 
 // An endpoint crashes and the attempts there break off one by one; another
@@ -83,7 +83,7 @@
     {...crashOf(endpoint, 'b'), id: `akl-a-2/${endpoint}`, ageMs: 100},
   ]);
   table.merge(pieces, 1000);
-  t.deepEqual(judgements(table, 1000, 'p', 'a', 'b'), [
+  t.deepEqual(decisionsOf(table, 1000, 'p', 'a', 'b'), [
     'run_alone',
     'run_alone',
     'run_alone',
@@ -94,7 +94,7 @@
   const table = new SuspectTable();
   const crash = crashOf('e1', 'p');
   table.merge([crash, {...crash, id: 'akl-a-2/e1', ageMs: 900}], 1000);
-  t.deepEqual(judgements(table, 1000, 'p'), ['run_alone']);
+  t.deepEqual(decisionsOf(table, 1000, 'p'), ['run_alone']);
 });
 
 // The platform reclaims all cheap endpoints of a data centre at once. If every
@@ -103,7 +103,7 @@
   const table = new SuspectTable();
   table.merge([crashOf('e1', 'a', 'p'), crashOf('e2', 'b')], 0);
   table.merge([crashOf('e3', 'c', 'p')], 3000);
-  t.deepEqual(judgements(table, 3000, 'a', 'b', 'c', 'p'), [
+  t.deepEqual(decisionsOf(table, 3000, 'a', 'b', 'c', 'p'), [
     'clear',
     'clear',
     'clear',
@@ -117,7 +117,7 @@
     table.merge([crashOf(endpoint, `p${index}`)], index * 10_000),
   );
   t.is(table.size, 2);
-  t.deepEqual(judgements(table, 30_000, 'p0', 'p2'), ['clear', 'run_alone']);
+  t.deepEqual(decisionsOf(table, 30_000, 'p0', 'p2'), ['clear', 'run_alone']);
 });
 
 test('changes are sent to other instances once, clearances included', t => {
@@ -125,11 +125,11 @@
   const other = new SuspectTable();
   table.merge([crashOf('e1', 'p', 'a')], 1000);
   other.merge(table.takeChanges(1500), 500_000);
-  t.deepEqual(judgements(other, 500_000, 'p'), ['run_alone']);
+  t.deepEqual(decisionsOf(other, 500_000, 'p'), ['run_alone']);
   t.deepEqual(table.takeChanges(1600), []);
   table.markFinished(print('a'));
   other.merge(table.takeChanges(1700), 500_300);
-  t.deepEqual(judgements(other, 500_300, 'a'), ['clear']);
+  t.deepEqual(decisionsOf(other, 500_300, 'a'), ['clear']);
   t.is(other.readAll(500_300)[0].ageMs, 800);
 });
 
@@ -164,8 +164,8 @@
         shuffled.merge(next, 40_000);
       }
       t.deepEqual(
-        judgements(shuffled, 40_000, ...names),
-        judgements(inOrder, 40_000, ...names),
+        decisionsOf(shuffled, 40_000, ...names),
+        decisionsOf(inOrder, 40_000, ...names),
       );
     },
   );
--- a/packages/policy/src/suspects.ts
+++ b/packages/policy/src/suspects.ts
@@ -59,7 +59,7 @@
  */
 const SAME_CRASH_WINDOW_MS = 5000;
 /**
- * This many endpoints of a data centre that crash within
+ * At least this many endpoints of a data centre that crash within
  * {@link RECLAIM_WINDOW_MS} count as reclaimed.
  */
 const RECLAIM_ENDPOINT_COUNT = 3;
@@ -182,9 +182,9 @@
   }
 
   /**
-   * A request that was in two crashes is refused, unless each of its crashes
-   * also involved another request that was in two: then either may be the
-   * cause, and both run alone until one finishes or crashes alone.
+   * A request that was in at least two crashes is refused, unless each of them
+   * also involved another request that was in at least two: then either may be
+   * the cause, and both run alone until one finishes or crashes alone.
    */
   private mustRefuse(
     fingerprint: Fingerprint,
--- a/packages/policy/src/tiered_choice.ts
+++ b/packages/policy/src/tiered_choice.ts
@@ -9,7 +9,10 @@
 import type {RandomSource} from './random_source.js';
 import {rankByRendezvous} from './rendezvous.js';
 
-/** Largest load for selection by affinity, relative to the fair load. */
+/**
+ * Up to this multiple of its fair load, an endpoint is chosen by affinity. The
+ * fair loads divide the requests in flight in proportion to the limits.
+ */
 const AFFINITY_LOAD_BOUND = 1.5;
 
 /** Options of {@link TieredChoice}. */
--- a/packages/routing/src/attempt_history.ts
+++ b/packages/routing/src/attempt_history.ts
@@ -29,7 +29,7 @@
   private offerCount = 0;
   private unreachedCount = 0;
 
-  /** Endpoints that were tried, in that order. */
+  /** Endpoints that were tried, in the order of the attempts. */
   get excluded(): ReadonlySet<EndpointId> {
     return this.tried;
   }
--- a/packages/routing/src/capacity_plan.ts
+++ b/packages/routing/src/capacity_plan.ts
@@ -12,7 +12,7 @@
   readonly count: number;
 }
 
-/** Inputs of {@link planCapacity}. */
+/** Inputs of {@link planCapacity}; defaults in brackets. */
 export interface CapacityInput {
   readonly service: ServiceId;
   readonly scaling: ScalingLimits;
--- a/packages/routing/src/crash_detector.ts
+++ b/packages/routing/src/crash_detector.ts
@@ -51,7 +51,7 @@
    *
    * @returns the requests whose answers broke off shortly before; may be empty.
    * @example
-   * const suspects = watch.confirm(endpoint.id, nowMs);
+   * const suspects = detector.confirmCrash(endpoint.id, nowMs);
    */
   confirmCrash(id: EndpointId, nowMs: number): readonly Fingerprint[] {
     const requests = this.recent(id, nowMs);
--- a/packages/routing/src/duties.test.ts
+++ b/packages/routing/src/duties.test.ts
@@ -35,25 +35,25 @@
 });
 
 test('a jump of the time of day shows a suspension', t => {
-  const watch = new SuspensionDetector(0, 1000);
-  t.false(watch.hasJumped(5000, 6010));
-  t.true(watch.hasJumped(5001, 9000));
-  t.false(watch.hasJumped(5002, 9001));
+  const detector = new SuspensionDetector(0, 1000);
+  t.false(detector.hasJumped(5000, 6010));
+  t.true(detector.hasJumped(5001, 9000));
+  t.false(detector.hasJumped(5002, 9001));
 });
 
 test('a broken answer alone is no crash', t => {
   // Guards against refusing callers that repeat a request because a network
   // loses answers of a healthy endpoint.
-  const watch = new CrashDetector({confirmWithinMs: 1000});
+  const detector = new CrashDetector({confirmWithinMs: 1000});
   const one = brandAs<EndpointId>('one');
   const request = brandAs<Fingerprint>('f');
-  watch.noteBroken(one, request, 0);
-  watch.noteAnswered(one);
-  t.deepEqual(watch.confirmCrash(one, 100), []);
-  watch.noteBroken(one, request, 200);
-  t.deepEqual(watch.confirmCrash(one, 300), [request]);
-  watch.noteBroken(one, request, 400);
-  t.deepEqual(watch.confirmCrash(one, 1500), []);
+  detector.noteBroken(one, request, 0);
+  detector.noteAnswered(one);
+  t.deepEqual(detector.confirmCrash(one, 100), []);
+  detector.noteBroken(one, request, 200);
+  t.deepEqual(detector.confirmCrash(one, 300), [request]);
+  detector.noteBroken(one, request, 400);
+  t.deepEqual(detector.confirmCrash(one, 1500), []);
 });
 
 test('counts of windows add up over instances', t => {
--- a/packages/routing/src/endpoint_monitor.ts
+++ b/packages/routing/src/endpoint_monitor.ts
@@ -139,8 +139,9 @@
   }
 
   /**
-   * Records a load reported to another instance. Requests that this instance
-   * sent later are not included in it.
+   * Records a load reported to another instance. The latest request of this
+   * instance counts as not included in it if it was sent later; when earlier
+   * ones were sent is not kept.
    */
   noteReportedLoad(id: EndpointId, load: ReportedLoad, atMs: number): void {
     const tracked = this.of(id);
--- a/packages/routing/src/least_loaded_placement.ts
+++ b/packages/routing/src/least_loaded_placement.ts
@@ -24,7 +24,11 @@
  * others, so that an endpoint that fails everything is tried last.
  */
 const FAILURE_COST_IN_REQUESTS = 12;
-/** Another data centre costs about a hundredth of a request's work. */
+/**
+ * Another data centre costs about a hundredth of a request's work. It counts
+ * more than {@link RANDOM_COST_IN_REQUESTS}, so that of equally good endpoints a
+ * local one is chosen.
+ */
 const REMOTE_COST_IN_REQUESTS = 0.2;
 const RANDOM_COST_IN_REQUESTS = 0.1;
 
--- a/packages/routing/src/load_view.ts
+++ b/packages/routing/src/load_view.ts
@@ -79,7 +79,7 @@
    *
    * @returns why it was dropped; undefined when it was recorded.
    * @example
-   * const drop = view.take(reading, 'local', nowMs);
+   * const drop = view.addReported(reading, 'local', nowMs);
    */
   addReported(
     reading: LoadReading,
--- a/packages/routing/src/placement.ts
+++ b/packages/routing/src/placement.ts
@@ -28,7 +28,10 @@
   readonly side: 'short' | 'long' | 'all';
   /** Engines of that side. */
   readonly engines: number;
-  /** Engines that the request may use; more when the side is widened. */
+  /**
+   * Engines that the request may use: a side may be widened, and cold or
+   * rate-limited engines may be left out.
+   */
   readonly candidates: number;
   /** Engines of the service that could be used. */
   readonly usable: number;
--- a/packages/routing/src/prompt_placement.ts
+++ b/packages/routing/src/prompt_placement.ts
@@ -62,6 +62,7 @@
 const LOAD_SLACK_REQUESTS = 8;
 /** Below this a cached prefix saves less than an uneven load costs. */
 const MIN_SHARED_TOKENS = 1000;
+/** Waiting requests whose cost equals that of a failed one. */
 const FAILURE_COST_IN_REQUESTS = 12;
 const RANDOM_COST_IN_REQUESTS = 0.5;
 /** Utilization of the short side above which it is widened. */
@@ -81,9 +82,9 @@
  * long side with room they delay others little.
  *
  * Many prompts that share a long prefix: an engine that has it in its cache
- * processes only the rest. Rendezvous hashing sends them to the same engine
- * from all instances without a call, unless that engine has more than its
- * share.
+ * processes only the rest. Rendezvous hashing sends them from all instances to
+ * the same one, their primary engine, without a call, unless that engine has
+ * more than its share.
  */
 export class PromptPlacement extends Placement {
   private readonly monitor: EndpointMonitor;
--- a/packages/routing/src/shutdown.test.ts
+++ b/packages/routing/src/shutdown.test.ts
@@ -57,9 +57,10 @@
   t.true(shutdown.isGraceOver(SIGNAL_MS + 7400));
 });
 
-test('within a grace time shorter than the balancer needs only requests that end in it are admitted', t => {
-  // Guards against answers that are cut: the balancer still sends requests when
-  // the grace time is nearly over.
+test('within a grace time shorter than the balancer needs only requests that usually end in it are admitted', t => {
+  // Guards against answers that are cut because they usually take longer than
+  // what is left: the balancer still sends requests when the grace time is
+  // nearly over.
   const shutdown = new Shutdown({graceMs: 2000});
   shutdown.begin(0);
   const long = {nowMs: 500, endsAtMs: 10_500};
--- a/packages/routing/src/suspension_detector.ts
+++ b/packages/routing/src/suspension_detector.ts
@@ -22,7 +22,7 @@
    * Whether the difference of the clocks has jumped since the last check.
    *
    * @example
-   * if (watch.hasJumped(performance.now(), Date.now())) dropLease();
+   * if (detector.hasJumped(performance.now(), Date.now())) dropLease();
    */
   hasJumped(nowMs: number, epochMs: number): boolean {
     const differenceMs = epochMs - nowMs;
--- a/packages/routing/src/window_budget.test.ts
+++ b/packages/routing/src/window_budget.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {maxSavedEach, WindowBudget} from './window_budget.js';
 
-test('retries stay under the ratio in a window', t => {
+test('retries stay within the ratio in a window', t => {
   // Guards against doubling the load of a service while all its endpoints fail,
   // since each request is retried.
   const budget = new WindowBudget({ratio: 0.2, windowMs: 1000});
@@ -21,7 +21,7 @@
   t.true(budget.tryTake(1000));
 });
 
-test('retries of all instances together stay under the ratio', t => {
+test('retries of all instances together stay within the ratio', t => {
   const budgets = Array.from(
     {length: 9},
     () => new WindowBudget({ratio: 0.2, windowMs: 10_000, floor: 0}),
@@ -50,7 +50,7 @@
     () => new WindowBudget({ratio: 0.2, windowMs, readMaxSaved}),
   );
   const requestsAtMs: number[] = [];
-  const extrasAtMs: number[] = [];
+  const retriesAtMs: number[] = [];
   for (let nowMs = 0; nowMs < 16_000; nowMs += 1) {
     const budget = budgets[(nowMs * 7) % instances];
     if (nowMs < 8000) {
@@ -58,14 +58,14 @@
       requestsAtMs.push(nowMs);
     }
     const isRejected = nowMs >= 3000 && nowMs < 12_000;
-    if (isRejected && budget.tryTake(nowMs)) extrasAtMs.push(nowMs);
+    if (isRejected && budget.tryTake(nowMs)) retriesAtMs.push(nowMs);
   }
   for (let beginMs = 0; beginMs < 12_000; beginMs += 100) {
     const isInside = (atMs: number): boolean =>
       atMs >= beginMs && atMs < beginMs + windowMs;
     const requests = requestsAtMs.filter(isInside).length;
-    const extras = extrasAtMs.filter(isInside).length;
-    t.true(extras <= 0.2 * requests + slack, `${beginMs}: ${extras}`);
+    const retries = retriesAtMs.filter(isInside).length;
+    t.true(retries <= 0.2 * requests + slack, `${beginMs}: ${retries}`);
   }
 });
 
