--- a/packages/agreement/src/lease_rows.ts
+++ b/packages/agreement/src/lease_rows.ts
@@ -58,7 +58,7 @@
  * as the lease changed hands between the reads of the two rows.
  *
  * @example
- * const fenceVersion = versionOfOwn(fence, row);
+ * const fenceVersion = matchingFenceVersion(fence, row);
  */
 export function matchingFenceVersion(fence: Row, row: Row): number | undefined {
   const token = (fence.value as FenceValue | null)?.fencingToken;
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -31,7 +31,7 @@
   readonly placed: Placed;
   /** Whether another endpoint may be tried if this one is silent. */
   readonly maySwitch: () => boolean;
-  /** Called once or repeatedly when the endpoint runs the request. */
+  /** Called, possibly repeatedly, once the endpoint has begun the request. */
   readonly onBegun: () => void;
 }
 
--- a/packages/gateway/src/gateway.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -3,9 +3,10 @@
 import {get, startGateway, waitUntil} from './test_support/test_gateway.js';
 
 test('an instance is ready with a configuration only, and not while it stops', async t => {
-  // The balancer sends callers to instances that report ready. Without a
-  // configuration an instance would answer them 404; one that stops and still
-  // reports ready would get new callers until its process ends.
+  // The balancer sends callers to instances that report ready. One without a
+  // configuration could only refuse them, and with a 404 they would conclude
+  // that nothing exists; one that stops and still reports ready would get new
+  // callers until its process ends.
   const {gateway, configuration, callers, readiness} = await startGateway();
   t.is((await get(readiness)).statusCode, 503);
   t.is((await get(callers)).statusCode, 503);
--- a/packages/gateway/src/read_answer_body.ts
+++ b/packages/gateway/src/read_answer_body.ts
@@ -6,7 +6,7 @@
 /**
  * @returns undefined when the answer ended before it was complete.
  * @example
- * const body = await readWhole(call, response);
+ * const body = await readAnswerBody(call, response);
  */
 export function readAnswerBody(
   call: EndpointCall,
--- a/packages/gateway/src/relay/relay_client.ts
+++ b/packages/gateway/src/relay/relay_client.ts
@@ -31,7 +31,7 @@
 
 /** Options of {@link RelayClient}. */
 export interface RelayClientOptions {
-  /** `<IP number>:<port>` */
+  /** `<IP address>:<port>` */
   readonly address: string;
   readonly request: FollowRequest | ExchangeRequest;
   /** Receives changes that reflect the store as of `asOfMs`, or later. */
--- a/packages/gateway/src/relay/relay_host.ts
+++ b/packages/gateway/src/relay/relay_host.ts
@@ -7,7 +7,7 @@
 
 /** Options of {@link RelayHost}. */
 export interface RelayHostOptions extends Omit<RelayServerOptions, 'address'> {
-  /** `<IP number>:<port>`; undefined: this instance never relays. */
+  /** `<IP address>:<port>`; undefined: this instance never relays. */
   readonly address: string | undefined;
   readonly logger: Logger;
   readonly nowMs: () => number;
--- a/packages/gateway/src/relay/relay_server.ts
+++ b/packages/gateway/src/relay/relay_server.ts
@@ -22,7 +22,7 @@
 
 /** Options of {@link RelayServer}. */
 export interface RelayServerOptions {
-  /** `<IP number>:<port>` */
+  /** `<IP address>:<port>` */
   readonly address: string;
   readonly copies: Readonly<Record<RelayedTableName, TableCopy>>;
   readonly writes: WriteBatcher;
--- a/packages/gateway/src/relay/relays.ts
+++ b/packages/gateway/src/relay/relays.ts
@@ -57,7 +57,10 @@
 const FACTS_FRESH_FOR_MS = 10_000;
 const TICK_MS = 500;
 
-/** Owns the roster, and the server or the streams of this instance's role. */
+/**
+ * Owns the roster and what this instance's role needs: a relay's server and its
+ * streams to other relays, or a follower's stream to its relay.
+ */
 export class Relays {
   private readonly roster: RelayRoster;
   private readonly copies: Record<RelayedTableName, TableCopy>;
--- a/packages/gateway/src/relay/slot_rows.ts
+++ b/packages/gateway/src/relay/slot_rows.ts
@@ -12,7 +12,7 @@
 /** Value of a slot's row. */
 export interface SlotValue {
   readonly instance: InstanceId;
-  /** `<IP number>:<port>` */
+  /** `<IP address>:<port>` */
   readonly address: string;
 }
 
--- a/packages/gateway/src/silence_limits.ts
+++ b/packages/gateway/src/silence_limits.ts
@@ -16,7 +16,8 @@
 /** At least half of the time left has to remain for that try. */
 const FIRST_LIMIT_TIME_LEFT_SHARE = 0.5;
 /**
- * Pauses grow several-fold while an engine reads long prompts, but not so far.
+ * Pauses grow several-fold while an engine reads long prompts, but less than
+ * this.
  */
 const NEXT_LIMIT_PAUSE_FACTOR = 5;
 const DEFAULT_PAUSE_TARGET_MS = 1000;
--- a/packages/gateway/src/stop.test.ts
+++ b/packages/gateway/src/stop.test.ts
@@ -26,11 +26,14 @@
   return started;
 }
 
-function headersOf(id: string, waitsForMs = 10_000): Record<string, string> {
+function headersOf(
+  id: string,
+  callerTimeoutMs = 10_000,
+): Record<string, string> {
   return {
     host: SLOW_ROUTE.host,
     'x-request-id': id,
-    'x-waits-ms': String(waitsForMs),
+    'x-waits-ms': String(callerTimeoutMs),
   };
 }
 
--- a/packages/gateway/src/store_recovery.ts
+++ b/packages/gateway/src/store_recovery.ts
@@ -25,7 +25,7 @@
    * @param pauseMs the follower's own backoff.
    * @returns the pause before its next call.
    * @example
-   * const pauseMs = recovery.lose(this, backoffMs);
+   * const pauseMs = recovery.noteFailure(this, backoffMs);
    */
   noteFailure(follower: object, pauseMs: number): number {
     this.lost.add(follower);
--- a/packages/gateway/src/table_follower.test.ts
+++ b/packages/gateway/src/table_follower.test.ts
@@ -59,46 +59,55 @@
   while (pauses.length < readings.length) {
     pauses.push(await follower.readOnce());
   }
-  return {table, told: notifications, pauses, lines: output.lines};
+  return {table, notifications, pauses, lines: output.lines};
 }
 
 test('reads the whole table once, then only changes', async t => {
-  const {table, told} = await follow([rows(5, 'a'), rows(7, 'b'), rows(9)]);
+  const {table, notifications} = await follow([
+    rows(5, 'a'),
+    rows(7, 'b'),
+    rows(9),
+  ]);
   t.deepEqual(table.calls, ['all', 'since 5', 'since 7']);
-  t.deepEqual(told, ['replaced a', 'changed b']);
+  t.deepEqual(notifications, ['replaced a', 'changed b']);
 });
 
 test('a whole read follows when the history is gone', async t => {
-  const {table, told} = await follow([
+  const {table, notifications} = await follow([
     rows(5, 'a'),
     {kind: 'history_gone'},
     rows(9, 'b'),
   ]);
   t.deepEqual(table.calls, ['all', 'since 5', 'all']);
-  t.deepEqual(told, ['replaced a', 'replaced b']);
+  t.deepEqual(notifications, ['replaced a', 'replaced b']);
 });
 
 test('a whole read older than the known version changes nothing', async t => {
   // The store dropped its history, and the whole read that follows comes from a
   // replica that lags. If it were applied, keys withdrawn a moment ago would be
   // accepted again and endpoints that have left would come back.
-  const {told, pauses} = await follow([
+  const {notifications, pauses} = await follow([
     rows(5, 'a'),
     {kind: 'history_gone'},
     rows(3, 'old'),
     rows(6, 'new'),
   ]);
-  t.deepEqual(told, ['replaced a', 'replaced new']);
+  t.deepEqual(notifications, ['replaced a', 'replaced new']);
   t.true(pauses[2] > 0);
 });
 
 test('pauses double with each failure, and an outage is logged once', async t => {
   const away: TableReading = {kind: 'unavailable', reason: 'timeout'};
-  const {pauses, lines, told} = await follow([away, away, away, rows(1, 'a')]);
+  const {pauses, lines, notifications} = await follow([
+    away,
+    away,
+    away,
+    rows(1, 'a'),
+  ]);
   t.deepEqual(pauses, [100, 200, 400, 0]);
   t.is(lines.filter(line => line.includes('store_lost')).length, 1);
   t.is(lines.filter(line => line.includes('store_regained')).length, 1);
-  t.is(told.at(-1), 'replaced a');
+  t.is(notifications.at(-1), 'replaced a');
 });
 
 test('after a whole read and after a change it pauses to gather further changes', async t => {
