--- a/packages/peer/src/member_dialler.ts
+++ b/packages/peer/src/member_dialler.ts
@@ -37,7 +37,7 @@
   }
 
   /**
-   * The lower id dials; the other one does after a heartbeat interval without
+   * The lower id dials; the other one does after a heartbeat interval without a
    * link.
    */
   dialNeighbours(neighbours: Iterable<InstanceId>, nowMs: number): void {
--- a/packages/peer/src/peer_contact.ts
+++ b/packages/peer/src/peer_contact.ts
@@ -15,7 +15,7 @@
 const MAX_QUEUED_RECORDS = 20_000;
 
 export class PeerContact {
-  /** The stream in use, after the hello of the other side. */
+  /** The stream in use, after the hellos of both sides. */
   link?: PeerLink;
   linkedAtMs = -Infinity;
   /** A stream that this process is opening. */
@@ -46,6 +46,7 @@
     return true;
   }
 
+  /** Drops the rumour when the queue is full. */
   queueRumour(rumour: Rumour): void {
     if (this.rumours.length < MAX_QUEUED_RECORDS) this.rumours.push(rumour);
   }
--- a/packages/soak/src/checks/limits.ts
+++ b/packages/soak/src/checks/limits.ts
@@ -73,7 +73,8 @@
 }
 
 /**
- * Most requests sent in the window, the one before or the one half before it.
+ * Largest number of requests sent in the window, or in the one that starts half
+ * a window or a whole window earlier.
  */
 function maxSentCount({requests}: History, fromMs: number): number {
   const times = requests.map(({sentAtMs}) => sentAtMs);
--- a/packages/soak/src/checks/rate_limits.ts
+++ b/packages/soak/src/checks/rate_limits.ts
@@ -48,9 +48,9 @@
   for (const {requestId, rateLimitSentAtMs} of runs) {
     const request = known.get(requestId);
     if (request === undefined || rateLimitSentAtMs === undefined) continue;
-    const processNumber = processKeyOf(request);
-    const before = sentAtMs.get(processNumber) ?? Number.POSITIVE_INFINITY;
-    sentAtMs.set(processNumber, Math.min(before, rateLimitSentAtMs));
+    const processKey = processKeyOf(request);
+    const before = sentAtMs.get(processKey) ?? Number.POSITIVE_INFINITY;
+    sentAtMs.set(processKey, Math.min(before, rateLimitSentAtMs));
   }
   const {contactMs} = history.bounds;
   return runs.flatMap(({requestId, arrivedAtMs}) => {
--- a/packages/soak/src/world/request_draw.ts
+++ b/packages/soak/src/world/request_draw.ts
@@ -69,8 +69,8 @@
       ? this.drawLongStream(instance, route)
       : this.drawShort(instance, route);
     if (source() >= HANG_UP_SHARE) return drawn;
-    // The product makes early hang-ups more frequent than late ones: they come
-    // before another endpoint is tried.
+    // The square of the range 0 to 1 favours small values: early hang-ups, before
+    // another endpoint is tried, are more frequent than late ones.
     const shareOfWait = source() * source();
     const hangsUpAfterMs = shareOfWait * drawn.request.callerTimeoutMs;
     return {...drawn, hangsUpAfterMs};
--- a/packages/types/src/platform_messages.ts
+++ b/packages/types/src/platform_messages.ts
@@ -33,9 +33,15 @@
 export type OrderResult =
   | {readonly kind: 'accepted'}
   | {readonly kind: 'refused'; readonly reason: string}
-  /** Nothing was sent: no connection, or the lease had ended. */
+  /**
+   * Not carried out: nothing was sent, since there was no connection or the lease
+   * had ended, or the platform turned the call away as too busy.
+   */
   | {readonly kind: 'not_sent'; readonly reason: string}
-  /** No answer; the order may have been carried out. */
+  /**
+   * No answer, or one that does not settle it; the order may have been carried
+   * out.
+   */
   | {readonly kind: 'unknown'; readonly reason: string};
 
 /** Usage of one client account and request class within a window. */
--- a/packages/types/src/table.ts
+++ b/packages/types/src/table.ts
@@ -31,7 +31,8 @@
 /**
  * - `committed`: all writes took effect.
  * - `conflict`: a check failed; nothing took effect.
- * - `unknown`: no answer; the writes may have taken effect, or still may.
+ * - `unknown`: no answer, or one that does not settle it; the writes may have
+ *   taken effect, or still may.
  */
 export type TransactionResult =
   | {
