--- a/packages/soak/src/world/fault_injector.ts
+++ b/packages/soak/src/world/fault_injector.ts
@@ -56,7 +56,10 @@
 /** Endpoints with a fault at a time; the others have to take the load. */
 const MAX_FAULTY_ENDPOINTS = 2;
 
-/** Holds at most one lasting fault of a part at a time; others are skipped. */
+/**
+ * Holds at most one lasting fault of a part at a time and skips others.
+ * Evacuations and rate limits don't count: they overlap with faults.
+ */
 export class FaultInjector {
   private readonly timers = new Set<NodeJS.Timeout>();
   private readonly undos = new Set<() => void>();
--- a/packages/soak/src/world/program.ts
+++ b/packages/soak/src/world/program.ts
@@ -21,7 +21,7 @@
 
 const ENTRY = 'platform/dist/main.js';
 const FOLDER = 'target/soak';
-/** Variable with the path of the file that holds the clock offset, in ms. */
+/** Environment variable with the path of the file of the clock offset, in ms. */
 export const CLOCK_FILE_VARIABLE = 'SOAK_CLOCK_FILE';
 
 const PARENT_CHECK_EVERY_MS = 1000;
