--- a/packages/stand_ins/src/client/stream_client.ts
+++ b/packages/stand_ins/src/client/stream_client.ts
@@ -34,10 +34,10 @@
   /** Distinct ids of the chunks. */
   readonly chunkIds: readonly string[];
   /** Arrival time of each token, on the monotonic clock. */
-  readonly tokenAtMs: readonly number[];
+  readonly tokenTimesMs: readonly number[];
   readonly usage: StreamChunk['usage'];
   /** Whether `[DONE]` arrived. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   readonly error: StreamChunk['error'] | undefined;
   /** Code of a failed connection, such as `ECONNRESET`. */
   readonly failure: string | undefined;
@@ -96,14 +96,14 @@
 class StreamCollector {
   private readonly reader = new StreamReader();
   private readonly onToken: ((atMs: number) => void) | undefined;
-  private readonly tokenAtMs: number[] = [];
+  private readonly tokenTimesMs: number[] = [];
   private readonly chunkIds = new Set<string>();
   private status = 0;
   private requestId: string | undefined;
   private text = '';
   private plainBody = '';
   private usage: StreamChunk['usage'];
-  private isWhole = false;
+  private isComplete = false;
   private error: StreamChunk['error'] | undefined;
   private failure: string | undefined;
 
@@ -131,16 +131,16 @@
   }
 
   end(): StreamResult {
-    const {chunkIds, error, failure, isWhole, requestId} = this;
-    const {status, text, tokenAtMs, usage} = this;
+    const {chunkIds, error, failure, isComplete, requestId} = this;
+    const {status, text, tokenTimesMs, usage} = this;
     return {
       status,
       requestId,
       text,
       chunkIds: [...chunkIds],
-      tokenAtMs,
+      tokenTimesMs,
       usage,
-      isWhole,
+      isComplete,
       error: error ?? errorOf(this.plainBody),
       failure,
       endedAtMs: performance.now(),
@@ -149,7 +149,7 @@
 
   private addEvent(event: StreamEvent): void {
     if (event.kind === 'done') {
-      this.isWhole = true;
+      this.isComplete = true;
       return;
     }
     const {chunk} = event;
@@ -160,7 +160,7 @@
     if (text === '') return;
     const atMs = performance.now();
     this.text += text;
-    this.tokenAtMs.push(atMs);
+    this.tokenTimesMs.push(atMs);
     this.onToken?.(atMs);
   }
 }
--- a/packages/stand_ins/src/engine/batch.ts
+++ b/packages/stand_ins/src/engine/batch.ts
@@ -1,4 +1,7 @@
-/** Continuous batching: a step produces a token of every running sequence. */
+/**
+ * Continuous batching: each step produces one token for every running sequence
+ * that does not hang.
+ */
 
 import type {Sequence} from './sequence.js';
 
--- a/packages/stand_ins/src/engine/engine_stand_in.test.ts
+++ b/packages/stand_ins/src/engine/engine_stand_in.test.ts
@@ -39,8 +39,8 @@
   const result = await ask(engine, 'attempt-1');
   t.is(result.requestId, 'attempt-1');
   t.deepEqual(result.chunkIds, ['attempt-1']);
-  t.true(result.isWhole);
-  t.is(result.tokenAtMs.length, 3);
+  t.true(result.isComplete);
+  t.is(result.tokenTimesMs.length, 3);
   t.is(result.usage?.completion_tokens, 3);
   t.is(result.text, expectedCompletion(PROMPT, 3));
   await engine.stop();
@@ -77,14 +77,14 @@
       if (tokens === 2) abort.abort();
     },
   });
-  t.false(broken.isWhole);
+  t.false(broken.isComplete);
   while (engine.batch.running > 0) await new Promise(setImmediate);
   const resumed = await streamCompletion({
     url: engine.url,
     path: '/v1/resume',
     body: {requestId: 'attempt-1', offset: 2},
   });
-  t.true(resumed.isWhole);
+  t.true(resumed.isComplete);
   t.is(
     expectedCompletion(PROMPT, 2) + resumed.text,
     expectedCompletion(PROMPT, 40),
@@ -98,7 +98,7 @@
   const answer = ask(engine, 'attempt-1', {max_tokens: 100_000});
   while (engine.counters.tokensProduced < 3) await new Promise(setImmediate);
   await got.post(`${engine.url}/v1/cancel`, {json: {requestId: 'attempt-1'}});
-  t.false((await answer).isWhole);
+  t.false((await answer).isComplete);
   t.is(engine.batch.running, 0);
   t.is(engine.counters.wastedTokens, engine.counters.tokensProduced);
   await engine.stop();
@@ -136,7 +136,7 @@
   t.is(engine.counters.crashes, 1);
   let again = await ask(engine, 'again');
   while (again.failure === 'ECONNREFUSED') again = await ask(engine, 'again');
-  t.true(again.isWhole);
+  t.true(again.isComplete);
   await engine.stop();
 });
 
--- a/packages/stand_ins/src/engine/prefix_cache.ts
+++ b/packages/stand_ins/src/engine/prefix_cache.ts
@@ -30,7 +30,7 @@
 /**
  * Returns the hash of each prefix of a prompt that consists of whole blocks,
  * shortest first: SHA-256 over the previous hash, a line break and the block's
- * words, cut to 16 digits.
+ * words, cut to 16 hex digits.
  *
  * @example
  * const [shortest] = prefixHashesOf(prompt);
--- a/packages/stand_ins/src/engine/sequence_factory.ts
+++ b/packages/stand_ins/src/engine/sequence_factory.ts
@@ -16,7 +16,10 @@
 /** Options of {@link SequenceFactory}. */
 export interface SequenceFactoryOptions {
   readonly seed?: number;
-  /** Mean length of answers whose request sets no `max_tokens`. */
+  /**
+   * Mean length of answers whose request sets no `max_tokens` and whose prompt
+   * has no mark that sets the mean.
+   */
   readonly meanOutputTokens?: number;
   /** A prompt that contains this text crashes the engine. */
   readonly poisonMark?: string;
@@ -31,7 +34,10 @@
 export const DEFAULT_POISON_MARK = '<<poison>>';
 const DEFAULT_MEAN_OUTPUT_TOKENS = 32;
 const LOWEST_PRIORITY = 1000;
-/** A poison request crashes its engine after 0 to 3 tokens. */
+/**
+ * A poison request crashes its engine after 0 to 3 tokens if its answer is
+ * longer than that.
+ */
 const CRASH_AFTER_TOKENS_BOUND = 4;
 
 /** Makes sequences and counts down faults that affect only the next ones. */
--- a/packages/stand_ins/src/measure/capacity.ts
+++ b/packages/stand_ins/src/measure/capacity.ts
@@ -86,7 +86,7 @@
     name: `${ratePerSecond}/s`,
     figures: {
       wholeShare:
-        outcomes.filter(({isWhole}) => isWhole).length / outcomes.length,
+        outcomes.filter(({isComplete}) => isComplete).length / outcomes.length,
       ...latencyFigures(outcomes),
       entryCpuShare: used.cpuShare,
       entryMegabytes: used.residentMegabytes,
--- a/packages/stand_ins/src/measure/figures.test.ts
+++ b/packages/stand_ins/src/measure/figures.test.ts
@@ -15,7 +15,7 @@
     betweenTokensMs: 30,
     totalMs: 500,
     tokens: 10,
-    isWhole: true,
+    isComplete: true,
     isWrong: false,
     status: 200,
     requestId: 'r-1',
@@ -64,7 +64,7 @@
   const refused = outcomeOf({
     firstTokenMs: undefined,
     betweenTokensMs: undefined,
-    isWhole: false,
+    isComplete: false,
     tokens: 0,
     refusal: 'overloaded',
     verdict: 'not_run',
@@ -90,7 +90,7 @@
     outcomeOf({arrival: {...arrival, account}}),
   );
   const missed = (account: string) =>
-    outcomeOf({arrival: {...arrival, account}, isWhole: false});
+    outcomeOf({arrival: {...arrival, account}, isComplete: false});
   const worst = (outcomes: readonly Outcome[]) =>
     figuresOf(outcomes, flood).worstAccountOverMedian;
   t.is(worst([...served, missed('central')]), 1);
--- a/packages/stand_ins/src/measure/figures.ts
+++ b/packages/stand_ins/src/measure/figures.ts
@@ -6,7 +6,10 @@
 import type {Scenario, ScenarioClass} from './scenario.js';
 import type {UsageCheck} from './usage_check.js';
 
-/** Shares of some requests that met the targets of their class, 0 to 1. */
+/**
+ * Shares of the requests of a class, phase or account that met the targets of
+ * their class, 0 to 1.
+ */
 export interface Attainment {
   readonly requests: number;
   /** Met all targets, with a complete answer. */
@@ -116,7 +119,7 @@
 export function meetsAll(scenario: Scenario, outcome: Outcome): boolean {
   const target = scenario.classes[outcome.arrival.requestClass];
   return (
-    outcome.isWhole &&
+    outcome.isComplete &&
     meetsFirstToken(target, outcome) &&
     meetsBetweenTokens(target, outcome) &&
     outcome.totalMs <= target.deadlineMs
@@ -140,8 +143,8 @@
 }
 
 function meetsBetweenTokens(target: ScenarioClass, outcome: Outcome): boolean {
-  const {betweenTokensMs, isWhole} = outcome;
-  return isWhole && (betweenTokensMs ?? 0) <= target.betweenTokensTargetMs;
+  const {betweenTokensMs, isComplete} = outcome;
+  return isComplete && (betweenTokensMs ?? 0) <= target.betweenTokensTargetMs;
 }
 
 function classFigures(
@@ -198,7 +201,8 @@
     firstToken: share(meetsFirstToken),
     betweenTokens: share(meetsBetweenTokens),
     deadline: share(
-      ({deadlineMs}, {isWhole, totalMs}) => isWhole && totalMs <= deadlineMs,
+      ({deadlineMs}, {isComplete, totalMs}) =>
+        isComplete && totalMs <= deadlineMs,
     ),
   };
 }
@@ -247,7 +251,9 @@
 ): number {
   const lowest = lowestClassOf(scenario);
   const endsMs = outcomes
-    .filter(({arrival, isWhole}) => isWhole && arrival.requestClass === lowest)
+    .filter(
+      ({arrival, isComplete}) => isComplete && arrival.requestClass === lowest,
+    )
     .map(({arrival, totalMs}) => arrival.atMs + totalMs);
   let least = Infinity;
   const lastStartMs = scenario.durationMs - WINDOW_MS;
--- a/packages/stand_ins/src/measure/load.ts
+++ b/packages/stand_ins/src/measure/load.ts
@@ -25,7 +25,7 @@
   readonly totalMs: number;
   readonly tokens: number;
   /** Whether the complete, expected answer to this request arrived. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   /** Whether the received text is not a prefix of the expected answer. */
   readonly isWrong: boolean;
   readonly status: number;
@@ -148,18 +148,18 @@
 
   private outcomeOf(arrival: Arrival, result: StreamResult): Outcome {
     const intendedAtMs = this.startedAtMs + arrival.atMs;
-    const {tokenAtMs} = result;
-    const first = tokenAtMs[0];
-    const last = tokenAtMs[tokenAtMs.length - 1];
-    const gaps = tokenAtMs.length - 1;
+    const {tokenTimesMs} = result;
+    const first = tokenTimesMs[0];
+    const last = tokenTimesMs[tokenTimesMs.length - 1];
+    const gaps = tokenTimesMs.length - 1;
     const expected = this.expectedText(arrival);
     return {
       arrival,
       firstTokenMs: first === undefined ? undefined : first - intendedAtMs,
       betweenTokensMs: gaps < 1 ? undefined : (last - first) / gaps,
       totalMs: result.endedAtMs - intendedAtMs,
-      tokens: tokenAtMs.length,
-      isWhole: result.isWhole && result.text === expected,
+      tokens: tokenTimesMs.length,
+      isComplete: result.isComplete && result.text === expected,
       isWrong: !expected.startsWith(result.text),
       status: result.status,
       requestId: result.requestId,
--- a/packages/stand_ins/src/measure/overhead.ts
+++ b/packages/stand_ins/src/measure/overhead.ts
@@ -75,12 +75,12 @@
       messages: [{role: 'user', content: 'Patch a tent'}],
     },
   });
-  if (!result.isWhole) {
+  if (!result.isComplete) {
     throw new Error(
       `Call failed: status ${result.status}, failure ${result.failure}`,
     );
   }
-  return result.tokenAtMs[0] - sentAtMs;
+  return result.tokenTimesMs[0] - sentAtMs;
 }
 
 function rowsOf(direct: Histogram, routed: Histogram): ExperimentRow[] {
--- a/packages/stand_ins/src/measure/usage_check.ts
+++ b/packages/stand_ins/src/measure/usage_check.ts
@@ -68,7 +68,8 @@
 function deliveredByAccount(outcomes: readonly Outcome[]): Map<string, number> {
   const tokens = new Map<string, number>();
   for (const outcome of outcomes) {
-    if (outcome.isWhole) add(tokens, outcome.arrival.account, outcome.tokens);
+    if (outcome.isComplete)
+      add(tokens, outcome.arrival.account, outcome.tokens);
   }
   return tokens;
 }
--- a/packages/stand_ins/src/platform/endpoint_provisioner.ts
+++ b/packages/stand_ins/src/platform/endpoint_provisioner.ts
@@ -20,7 +20,7 @@
 
 /** Options of {@link EndpointProvisioner}. */
 export interface EndpointProvisionerOptions {
-  /** Makes an endpoint that isn't started; without it no endpoint is added. */
+  /** Makes an endpoint, not yet started; without it orders start none. */
   readonly makeEndpoint?: (request: EndpointRequest) => StandInServer;
   /** Time from the order until the endpoint is started and live. */
   readonly startDelayMs?: number;
@@ -41,7 +41,7 @@
 
 /** Runs as many endpoints of each data centre, model and kind as ordered. */
 export class EndpointProvisioner {
-  /** False while no cheap endpoint can be ordered. */
+  /** False while orders for more cheap endpoints are refused. */
   cheapAvailable = true;
   private readonly options: EndpointProvisionerOptions;
   private readonly running = new Map<EndpointId, RunningEndpoint>();
--- a/packages/stand_ins/src/platform/platform_stand_in.test.ts
+++ b/packages/stand_ins/src/platform/platform_stand_in.test.ts
@@ -16,7 +16,7 @@
   return {platform, client};
 }
 
-test('a transaction commits if its checks hold, otherwise it returns the rows', async t => {
+test('a transaction commits if its checks hold, otherwise it returns the rows that failed them', async t => {
   const {platform, client} = await startPlatform();
   const write = (checks: object[]) =>
     client.post('v1/table/transact', {
@@ -93,7 +93,7 @@
   await platform.stop();
 });
 
-test('a repeated order is carried out once and cheap endpoints can be reclaimed', async t => {
+test('a repeated order adds no endpoints and cheap endpoints can be reclaimed', async t => {
   const platform = new PlatformStandIn({
     endpoints: {makeEndpoint: () => new EngineStandIn(), startDelayMs: 0},
   });
--- a/packages/stand_ins/src/quickstart/main.test.ts
+++ b/packages/stand_ins/src/quickstart/main.test.ts
@@ -4,7 +4,7 @@
 
 const SCRIPT = fileURLToPath(new URL('./main.js', import.meta.url));
 
-test('the quickstart with --once makes every sample call and exits', async t => {
+test('every sample call of the quickstart with --once succeeds, and it exits with 0', async t => {
   const launcher = new Launcher();
   t.teardown(() => launcher.close());
   const quickstart = launcher.launch({script: SCRIPT, args: ['--once']});
--- a/packages/stand_ins/src/quickstart/sample_calls.ts
+++ b/packages/stand_ins/src/quickstart/sample_calls.ts
@@ -78,10 +78,10 @@
       messages: [{role: 'user', content: sample.question}],
     },
   });
-  const tokens = result.tokenAtMs.length;
+  const tokens = result.tokenTimesMs.length;
   return {
     title: sample.title,
-    ok: result.isWhole && tokens === SAMPLE_TOKEN_COUNT,
+    ok: result.isComplete && tokens === SAMPLE_TOKEN_COUNT,
     detail: `${result.status}, ${tokens} tokens: ${result.text}`,
   };
 }
--- a/packages/stand_ins/src/service/service_stand_in.ts
+++ b/packages/stand_ins/src/service/service_stand_in.ts
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Returns contents that were recorded more than once. If its caller sent such
-   * a content only once, the router is at fault.
+   * Returns contents that were recorded more than once, one entry for each
+   * repeat. If its caller sent such a content only once, the router is at fault.
    *
    * @example
    * t.deepEqual(service.doubles(), []);
