--- a/packages/entry/src/choose/cell_permits.ts
+++ b/packages/entry/src/choose/cell_permits.ts
@@ -152,6 +152,7 @@
     const key = request.prefixHash ?? request.attempt;
     const ids = cells.map(({id}) => id);
     const chosen = cell ?? rankByRendezvous(key, ids)[0];
+    // Results are matched by attempt id, so each data centre gets its own.
     const attempt = brandAs<AttemptId>(
       rank === 0 ? request.attempt : `${request.attempt}@${rank}`,
     );
--- a/packages/entry/src/compose/create_lease_task.ts
+++ b/packages/entry/src/compose/create_lease_task.ts
@@ -34,17 +34,10 @@
  *
  * @example
  * const lease = createLeaseTask({name, settings, executor, view, logger,
- *   candidatesAmong: () => instances});
+ *   eligibleInstances: () => instances});
  */
 export function createLeaseTask(options: CreateLeaseTaskOptions): LeaseTask {
-  const {
-    name,
-    settings,
-    executor,
-    view,
-    logger,
-    eligibleInstances: candidatesAmong,
-  } = options;
+  const {name, settings, executor, view, logger, eligibleInstances} = options;
   const {termMs, marginMs, renewEveryMs} = settings.lease;
   const self = settings.instance;
   return new LeaseTask({
@@ -61,7 +54,7 @@
     clock: monotonicNowMs,
     logger: logger.forComponent('lease'),
     isCandidate: () =>
-      rankByRendezvous(name, candidatesAmong())
+      rankByRendezvous(name, eligibleInstances())
         .slice(0, CANDIDATE_COUNT)
         .includes(self),
   });
--- a/packages/entry/src/configure/configuration_store.test.ts
+++ b/packages/entry/src/configure/configuration_store.test.ts
@@ -7,8 +7,8 @@
   // Guards against a withdrawn key becoming valid again: when one push
   // overtakes another, the older configuration arrives last.
   const store = new ConfigurationStore();
-  const published: number[] = [];
-  store.onChange(({revision}) => published.push(revision));
+  const applied: number[] = [];
+  store.onChange(({revision}) => applied.push(revision));
   const at = (revision: number) => ({
     ...emptyConfiguration(),
     revision: brandAs<Revision>(revision),
@@ -17,5 +17,5 @@
   t.false(store.apply(at(1)));
   t.false(store.apply(at(2)));
   t.is(store.revision, brandAs<Revision>(2));
-  t.deepEqual(published, [2]);
+  t.deepEqual(applied, [2]);
 });
--- a/packages/entry/src/peers/peer_task.ts
+++ b/packages/entry/src/peers/peer_task.ts
@@ -40,7 +40,7 @@
    * Registers the handler of an extension's records.
    *
    * @example
-   * peers.onExtension('suspects', (json, from) => suspects.take(json));
+   * peers.onExtension('usage_copies', (json, from) => store(json, from));
    */
   onExtension(name: string, handler: ExtensionHandler): void {
     this.extensions.set(name, handler);
--- a/packages/entry/src/send/endpoint_error.ts
+++ b/packages/entry/src/send/endpoint_error.ts
@@ -9,8 +9,7 @@
  * - `broken`: the connection ended before the answer was complete, and the
  *   endpoint may have crashed; or the answer could not be read.
  * - `silent`: no data, or from a plain service no complete answer, arrived
- *   within
- *   the time limit.
+ *   within the time limit.
  * - `refused`: the endpoint answered with an error before doing any work.
  * - `errored`: the endpoint answered with an error.
  * - `mismatched`: the answer was to another request.
--- a/packages/entry/src/sessions/keys.test.ts
+++ b/packages/entry/src/sessions/keys.test.ts
@@ -11,8 +11,8 @@
 
 test('a withdrawn key stops for new, waiting and running work', async t => {
   // A leaked key is withdrawn while requests with it run and wait at another
-  // instance, whose connections stay open. Without the check, these requests
-  // would still be served and billed to the account.
+  // instance, whose connections stay open. If these requests went on, they
+  // would be served and billed to the account.
   const world = await TestWorld.start({
     entries: ['akl-a', 'akl-a'],
     maxConcurrency: 2,
