--- a/packages/log/src/metric_names.ts
+++ b/packages/log/src/metric_names.ts
@@ -1,4 +1,7 @@
-/** All metrics that the project sends, with kind, unit, tags and meaning. */
+/**
+ * All defined metrics, with kind, unit, tags and meaning. Some of them, such as
+ * `hedges`, are not sent by any code.
+ */
 
 /** The StatsD type of a metric. */
 export type MetricKind = 'counter' | 'timing' | 'gauge';
