--- a/packages/entry/src/endpoints/demand_reports.ts
+++ b/packages/entry/src/endpoints/demand_reports.ts
@@ -33,7 +33,7 @@
   }
 
   /** The lines for one data centre from all reports, as one demand. */
-  sumFor(dataCentre: DataCentreId): Demand {
+  demandFor(dataCentre: DataCentreId): Demand {
     const all = this.fresh();
     const isOwn = (line: DemandLine) => line.dataCentre === dataCentre;
     return {
--- a/packages/entry/src/endpoints/demand_task.ts
+++ b/packages/entry/src/endpoints/demand_task.ts
@@ -66,7 +66,7 @@
 
   private publishToOtherHolders(): void {
     const {self, dataCentre, demandReports, send} = this.options;
-    const sum = demandReports.sumFor(dataCentre);
+    const sum = demandReports.demandFor(dataCentre);
     for (const [other, holder] of this.holders) {
       if (other !== dataCentre && holder !== self) send(holder, sum);
     }
