--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -87,8 +87,11 @@
     const loadAgeMs = this.loadAgeWhenChosenMs;
     return {
       verdict: this.verdict,
+      // Endpoints tried, also those not reached, unlike the history's `offers`.
       offers: this.history.excluded.size,
+      // Failed attempts that may have run the request.
       runs: this.history.runs,
+      // Failed attempts in which no endpoint received the request.
       unreached: this.history.unreached || undefined,
       reason: this.lastReason,
       expired: this.hasExpired || undefined,
--- a/packages/gateway/src/relay/relay_stream.test.ts
+++ b/packages/gateway/src/relay/relay_stream.test.ts
@@ -127,7 +127,7 @@
   t.false(await client.write({...row, key: 'usage/2/follower'}));
 });
 
-test('a write that takes too long counts as failed', async t => {
+test('a write that takes too long is not known to have succeeded', async t => {
   // Guards against an instance that never writes because its relay is frozen.
   const {client} = await startPair(t, 20_000, 1);
   t.false(await client.write({key: 'usage/1/follower', value: {}}));
--- a/packages/routing/src/relay_roster.ts
+++ b/packages/routing/src/relay_roster.ts
@@ -12,7 +12,7 @@
   readonly version: number;
 }
 
-/** A relay, and the address at which others reach it: `<IP number>:<port>`. */
+/** A relay, and the address at which others reach it: `<IP address>:<port>`. */
 export interface RelayHolder {
   readonly instance: InstanceId;
   readonly address: string;
--- a/packages/routing/src/serving_endpoint.ts
+++ b/packages/routing/src/serving_endpoint.ts
@@ -7,7 +7,7 @@
   ServiceId,
 } from '@snipestage/types/ids.js';
 
-/** `<IP number>:<port>`. */
+/** `<IP address>:<port>`. */
 export type EndpointAddress = Branded<string, 'EndpointAddress'>;
 
 export interface ServingEndpoint {
--- a/packages/stand_ins/src/engine/batch.ts
+++ b/packages/stand_ins/src/engine/batch.ts
@@ -120,7 +120,7 @@
 
   private step(): void {
     for (const sequence of this.runningSequences) {
-      if (sequence.isPoison) {
+      if (sequence.crashesNow) {
         this.hooks.onPoison();
         return;
       }
--- a/packages/stand_ins/src/engine/sequence.ts
+++ b/packages/stand_ins/src/engine/sequence.ts
@@ -49,7 +49,7 @@
     return this.produced === this.options.hangAfterTokens;
   }
 
-  get isPoison(): boolean {
+  get crashesNow(): boolean {
     return this.produced === this.options.crashAfterTokens;
   }
 
