--- a/packages/entry/src/agree/order_task.ts
+++ b/packages/entry/src/agree/order_task.ts
@@ -37,10 +37,7 @@
     });
   }
 
-  /**
-   * Sets the complete desired state. Orders are sent for whatever differs from
-   * it.
-   */
+  /** Replaces all that is wanted; sends orders for whatever differs from it. */
   setDesired(contents: readonly OrderContent[]): void {
     this.handle({kind: 'desired', contents});
   }
